--- a/benchmarks/custody.py
+++ b/benchmarks/custody.py
@@ -23,15 +23,15 @@
 
 from benchmarks.members import OPTIMIZED, Rows, figures, share
 from benchmarks.tables import RESULTS, keep
-from cloverhinge import console
-from cloverhinge.custody import core, model
-from cloverhinge.custody.register import Phase
-from cloverhinge.custody.wire import Member
 from cloverhinge.lab import viewers
+from cloverhinge.lab.harness import Quick, answer
 from cloverhinge.lab.media import set_ups
 from cloverhinge.lab.rig import Rig, Router, rig
-from cloverhinge.lab.stand import Quick, answer
 from cloverhinge.lab.viewers import custody_of, play, set_up, until_rostered
+from cloverhinge.operations import console
+from cloverhinge.ownership import core, model
+from cloverhinge.ownership.register import Phase
+from cloverhinge.ownership.wire import Member
 
 PLAYS = 10  # at a router when it is killed
 SOON_S = 30.0
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -26,8 +26,8 @@
 
 from benchmarks.tables import keep
 from benchmarks.world import Crowd, World, settings
+from cloverhinge.admission.gateway import Gate
 from cloverhinge.core.model import Ask
-from cloverhinge.door.gate import Gate
 from cloverhinge.site import ClientSite, DoorSite
 
 MAPLE, BIRCH = ip_network("10.1.0.0/16"), ip_network("10.2.0.0/16")
@@ -193,7 +193,7 @@
 
 def paces(folder: Path, door: bool, seconds: float = 4.0, lines: int = 8) -> tuple[float, float]:
     """Set-ups a second, and a second of the router's processor time; viewers ask, hear, end and ask again."""
-    from cloverhinge.lab.stand import SETTINGS, ChangeLog, Quick, Wire, answer
+    from cloverhinge.lab.harness import SETTINGS, ChangeLog, Quick, Wire, answer
 
     pumps, log = [Quick(f"s-{n:08x}", n) for n in range(2)], ChangeLog()
     with tempfile.TemporaryDirectory() as name:
--- a/benchmarks/door_orders.py
+++ b/benchmarks/door_orders.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from benchmarks.tables import keep
-from cloverhinge.door.fair import max_min
+from cloverhinge.admission.fair_queue import max_min
 
 PLACES, SPAN_S, WAIT_S = 100, 600.0, 4.0
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -27,8 +27,8 @@
 from benchmarks.tables import RESULTS, keep
 from cloverhinge.emulator.routers import World
 from cloverhinge.lab import checks, schedule
+from cloverhinge.lab.harness import ChangeLog, Program, Quick, Wire, answer, ask
 from cloverhinge.lab.rig import rig
-from cloverhinge.lab.stand import ChangeLog, Program, Quick, Wire, answer, ask
 
 Rows = list[dict[str, object]]
 OPTIMIZED = ("-O", "-m", "cloverhinge")
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -13,9 +13,9 @@
 from benchmarks.members import OPTIMIZED, Rows, share
 from benchmarks.tables import keep
 from cloverhinge.lab import viewers
+from cloverhinge.lab.harness import Quick
 from cloverhinge.lab.media import set_ups
 from cloverhinge.lab.rig import Rig, rig
-from cloverhinge.lab.stand import Quick
 from cloverhinge.lab.viewers import until_rostered
 from cloverhinge.store.folder import Folder
 
--- a/cloverhinge/door/fair.py
+++ b/cloverhinge/admission/fair_queue.py
@@ -15,8 +15,8 @@
 
 from sortedcontainers import SortedList
 
-from cloverhinge.door.forecast import Curve, LifeTable, curve
-from cloverhinge.door.promises import Promise, Promises
+from cloverhinge.admission.forecast import Curve, LifeTable, curve
+from cloverhinge.admission.reservations import Promise, Promises
 
 BUCKETS = 64  # of addresses inside a client whom nobody vouches for
 LANES_MOST = 64  # of a bucket: who asks for yet another pool is quoted without a promise
--- a/cloverhinge/door/gate.py
+++ b/cloverhinge/admission/gateway.py
@@ -1,4 +1,4 @@
-"""The door's place beside the core: requests in, verdicts carried out, timers.  Decisions: fair.py."""
+"""The door's place beside the core: requests in, verdicts carried out, timers.  Decisions: fair_queue.py."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 from twisted.logger import Logger
 
+from cloverhinge.admission import fair_queue
+from cloverhinge.admission.clients import Clients
+from cloverhinge.admission.reservation_tokens import Tickets
+from cloverhinge.admission.reservations import Promise, Promises
 from cloverhinge.core.clock import to_us
 from cloverhinge.core.deadlines import Deadlines, Key
 from cloverhinge.core.model import Ask, Request, State
 from cloverhinge.core.router import Router
+from cloverhinge.decision.capacity import room
 from cloverhinge.decision.interface import Outcome
-from cloverhinge.decision.room import room
-from cloverhinge.door import fair
-from cloverhinge.door.clients import Clients
-from cloverhinge.door.promises import Promise, Promises
-from cloverhinge.door.tickets import Tickets
 from cloverhinge.site.model import DoorSite
 
 CLOSED_MS = 1000.0  # told by a program that ends: a restart takes about so long
@@ -51,20 +51,21 @@
         self.key = hashlib.blake2b(f"door {seed}".encode(), digest_size=32).digest()
         first, last = int(self.clock.now()) << SERIAL_BITS, len(site.clients) - 1
         clients = [
-            fair.Client(
+            fair_queue.Client(
                 one.name,
                 one.weight,
                 at == last,
                 Promises(
-                    site.promises, site.promises // fair.BUCKETS if at == last else site.promises, first
+                    site.promises, site.promises // fair_queue.BUCKETS if at == last else site.promises, first
                 ),
             )
             for at, one in enumerate(site.clients)
         ]
         classes = {
-            one.name: fair.ClassRule(one.worth, one.deadline_us / 1000.0) for one in self.settings.classes
+            one.name: fair_queue.ClassRule(one.worth, one.deadline_us / 1000.0)
+            for one in self.settings.classes
         }
-        self.door = fair.Door(
+        self.door = fair_queue.Door(
             clients, classes, self.settings.cells, self._room, site.waiting, site.quote_most_ms
         )
         self.links_kb, self.places = 1.0, 1.0
@@ -141,14 +142,14 @@
 
     # Towards the core
 
-    def _carry_out(self, verdicts: list[fair.Verdict]) -> None:
+    def _carry_out(self, verdicts: list[fair_queue.Verdict]) -> None:
         while verdicts:
             entered = False
             for verdict in verdicts:
                 request = self.router.requests.get(verdict.number)
                 if request is None or request.state is not State.OPEN:
                     continue
-                if isinstance(verdict, fair.LetIn):
+                if isinstance(verdict, fair_queue.LetIn):
                     self.router.admit(request)
                     entered = True
                 else:
@@ -170,12 +171,12 @@
         self.changing = None
         self._carry_out(self.door.changed(self.clock.now()))
 
-    def _ticket(self, told: fair.TurnAway) -> str:
+    def _ticket(self, told: fair_queue.TurnAway) -> str:
         return self.tickets.write(told.client, told.promise) if told.promise is not None else ""
 
     # What the door has to be told
 
-    def _room(self, pool: fair.Pool) -> int:
+    def _room(self, pool: fair_queue.Pool) -> int:
         return room(
             self.router.controller,
             to_us(self.clock.now()),
@@ -194,11 +195,11 @@
     def _number(self, text: str) -> int:
         return int.from_bytes(hashlib.blake2b(text.encode(), key=self.key, digest_size=8).digest(), "big")
 
-    def _arrival(self, request: Request) -> fair.Arrival:
+    def _arrival(self, request: Request) -> fair_queue.Arrival:
         ask, cells = request.ask, self.settings.cells
         client = self.clients.of_peer(ask.peer) if ask.client < 0 else ask.client
-        bucket = self._number(ask.peer) % fair.BUCKETS if client == self.clients.others else 0
-        pool = fair.Pool(
+        bucket = self._number(ask.peer) % fair_queue.BUCKETS if client == self.clients.others else 0
+        pool = fair_queue.Pool(
             ask.class_name,
             ask.first_cell % cells,
             min(ask.copies, cells),
@@ -209,7 +210,7 @@
         promise: Promise | None = None
         if ask.ticket:
             promise = self.tickets.read(ask.ticket, now, self.clients.told[client].name, viewer, bucket, pool)
-        return fair.Arrival(
+        return fair_queue.Arrival(
             request.handle,
             client,
             bucket,
@@ -224,7 +225,7 @@
     def status(self) -> list[dict[str, Any]]:
         """A row for each client, for the admin's answer."""
         held = sum(x.holding for x in self.door.clients) or 1.0
-        due = fair.shares_due(self.door.clients)
+        due = fair_queue.shares_due(self.door.clients)
         return [
             {
                 "name": x.name,
--- a/cloverhinge/door/custody.py
+++ b/cloverhinge/admission/replicated_reservations.py
@@ -8,14 +8,14 @@
 
 from collections.abc import Callable
 
+from cloverhinge.admission.fair_queue import WINDOW_MOST_MS
+from cloverhinge.admission.gateway import Gate
+from cloverhinge.admission.reservations import Promise
 from cloverhinge.core.model import Request
-from cloverhinge.custody.kept import Kept
-from cloverhinge.custody.model import Verdict
-from cloverhinge.custody.part import Part
-from cloverhinge.custody.register import Phase, Work
-from cloverhinge.door.fair import WINDOW_MOST_MS
-from cloverhinge.door.gate import Gate
-from cloverhinge.door.promises import Promise
+from cloverhinge.ownership.component import Part
+from cloverhinge.ownership.model import Verdict
+from cloverhinge.ownership.register import Phase, Work
+from cloverhinge.ownership.replicated_work import Kept
 
 LETTER = "d"
 SOON_MS = 250.0  # for the keepers to answer: a viewer waits at the door as long as that at the most
--- a/cloverhinge/door/tickets.py
+++ b/cloverhinge/admission/reservation_tokens.py
@@ -6,8 +6,8 @@
 import hmac
 import re
 
-from cloverhinge.door.fair import WINDOW_MOST_MS, Pool
-from cloverhinge.door.promises import Promise
+from cloverhinge.admission.fair_queue import WINDOW_MOST_MS, Pool
+from cloverhinge.admission.reservations import Promise
 
 VERSION = 1
 SHAPE = re.compile(r"1\.([0-9a-f]{1,16})\.([0-9a-f]{1,12})\.([0-9a-f]{1,8})\.([0-9a-f]{1,8})\.([0-9a-f]{32})")
--- a/cloverhinge/door/promises.py
+++ b/cloverhinge/admission/reservations.py
@@ -12,7 +12,7 @@
 from sortedcontainers import SortedDict
 
 if TYPE_CHECKING:
-    from cloverhinge.door.fair import Pool
+    from cloverhinge.admission.fair_queue import Pool
 
 
 @dataclass(frozen=True, slots=True)
--- a/cloverhinge/cli.py
+++ b/cloverhinge/cli.py
@@ -33,8 +33,9 @@
 
 from docopt import docopt
 
-from cloverhinge import __version__, config, console, site
-from cloverhinge.core.told import ConfigError
+from cloverhinge import __version__, config, site
+from cloverhinge.core.config_values import ConfigError
+from cloverhinge.operations import console
 
 DEFAULT_SITE = "deploy/site.toml"
 
--- a/cloverhinge/config.py
+++ b/cloverhinge/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cloverhinge.core.told import ConfigError, address
+from cloverhinge.core.config_values import ConfigError, address
 from cloverhinge.decision import interface as api
 from cloverhinge.discovery.updates import ListUpdate, parse_update
 from cloverhinge.settings import parse_settings
--- a/cloverhinge/decision/logic.py
+++ b/cloverhinge/decision/logic.py
@@ -9,10 +9,10 @@
 import math
 
 from cloverhinge.decision import interface as api
+from cloverhinge.decision.health import DISTRUST_US
 from cloverhinge.decision.loads import LOG_EVERY_US
 from cloverhinge.decision.rungs import EASED, SHORT, Rungs
 from cloverhinge.decision.state import Server, Session, held
-from cloverhinge.decision.trust import DISTRUST_US
 
 DELIVERED = 0.98  # share of the rate under which viewers lose
 TICK_US = 500_000  # pace of raising
--- a/cloverhinge/decision/rungs.py
+++ b/cloverhinge/decision/rungs.py
@@ -5,9 +5,9 @@
 import heapq
 
 from cloverhinge.decision import interface as api
+from cloverhinge.decision.health import Trust
 from cloverhinge.decision.loads import PROBE_AGE_US, STALE_US
 from cloverhinge.decision.state import Limit, Server, Session
-from cloverhinge.decision.trust import Trust
 
 MARK = 0.90  # load up to which sessions are admitted; the rest is room for the spread of true rates
 RESERVE = 0.2  # load left free by steps that earn nothing, in proportion by others
--- a/cloverhinge/discovery/updates.py
+++ b/cloverhinge/discovery/updates.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cloverhinge.core.told import address
+from cloverhinge.core.config_values import address
 from cloverhinge.decision import interface as api
 
 HEALTH = {"active": api.Health.READY, "leaving": api.Health.DRAINING, "left": api.Health.GONE}
--- a/cloverhinge/emulator/disks.py
+++ b/cloverhinge/emulator/disks.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from cloverhinge.custody.recall import Persist
+from cloverhinge.ownership.persistence import Persist
 from cloverhinge.store import NO_MARK, Mark
 
 
--- a/cloverhinge/emulator/keeping.py
+++ b/cloverhinge/emulator/ownership_world.py
@@ -9,17 +9,17 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from cloverhinge.custody.core import TICK_MS, Custody
-from cloverhinge.custody.model import Action, Answer, Kept, Lost, Rules, Say, Took, Verdict
-from cloverhinge.custody.model import Send as SendTo
-from cloverhinge.custody.recall import Persist, Recall
-from cloverhinge.custody.register import Phase
-from cloverhinge.custody.wire import Member
 from cloverhinge.emulator.disks import Disk
 from cloverhinge.emulator.network import Address, Way
 from cloverhinge.emulator.routers import Router, World
 from cloverhinge.members import core
 from cloverhinge.members.wire import State
+from cloverhinge.ownership.core import TICK_MS, Custody
+from cloverhinge.ownership.model import Action, Answer, Kept, Lost, Rules, Say, Took, Verdict
+from cloverhinge.ownership.model import Send as SendTo
+from cloverhinge.ownership.persistence import Persist, Recall
+from cloverhinge.ownership.register import Phase
+from cloverhinge.ownership.wire import Member
 
 BOX_MS = 80.0  # from a set-up's first byte to its answer
 CONNECT_MS = 5.0  # between the intent and the first byte
--- a/cloverhinge/hls/front.py
+++ b/cloverhinge/hls/front.py
@@ -27,9 +27,9 @@
 from cloverhinge.core.deadlines import Deadlines, Key
 from cloverhinge.core.router import Router
 from cloverhinge.decision.interface import Effect
-from cloverhinge.hls import boxes as media
 from cloverhinge.hls import manifests
-from cloverhinge.hls.boxes import HlsBoxes
+from cloverhinge.hls import media_servers as media
+from cloverhinge.hls.media_servers import HlsBoxes
 from cloverhinge.hls.plays import Final, Over, Play, Plays
 from cloverhinge.site import HlsSite
 
--- a/cloverhinge/hls/custody.py
+++ b/cloverhinge/hls/replicated_plays.py
@@ -8,12 +8,12 @@
 from twisted.internet.defer import Deferred
 
 from cloverhinge.core.model import Request, State
-from cloverhinge.custody.kept import Kept
-from cloverhinge.custody.model import Verdict
-from cloverhinge.custody.part import SOON_MS, Part
-from cloverhinge.custody.register import Phase, Work
-from cloverhinge.hls.boxes import HlsBoxes
+from cloverhinge.hls.media_servers import HlsBoxes
 from cloverhinge.hls.plays import BUSY_MS, Final, Over, Play, Plays, PlayViewer
+from cloverhinge.ownership.component import SOON_MS, Part
+from cloverhinge.ownership.model import Verdict
+from cloverhinge.ownership.register import Phase, Work
+from cloverhinge.ownership.replicated_work import Kept
 from cloverhinge.site.model import HlsSite
 
 LETTER = "h"
--- a/cloverhinge/lab/media.py
+++ b/cloverhinge/lab/media.py
@@ -1,7 +1,7 @@
 """Media boxes as stand-ins, with both sides of the platform and a record of each session that they hold.
 
-HTTP as `hls/boxes.py` says it, RTSP as the pumps speak it.  A box holds a session from its set-up until it is
-released; what it was asked goes into the run's record, so that checkers need no router's word.
+HTTP as `hls/media_servers.py` says it, RTSP as the pumps speak it.  A box holds a session from its set-up
+until it is released; what it was asked goes into the run's record, so that checkers need no router's word.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any
 
+from cloverhinge.lab.harness import WAIT_S, Message, Pump, Wire
 from cloverhinge.lab.record import Event, Record
-from cloverhinge.lab.stand import WAIT_S, Message, Pump, Wire
 
 MASTER = (
     "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=800000\n{0}/low.m3u8\n"
--- a/cloverhinge/lab/rig.py
+++ b/cloverhinge/lab/rig.py
@@ -17,10 +17,10 @@
 from pathlib import Path
 from typing import Any
 
+from cloverhinge.lab.harness import ROOT, WAIT_S, ChangeLog, Program, Pump
 from cloverhinge.lab.hub import Hub
 from cloverhinge.lab.media import MediaBox
 from cloverhinge.lab.record import Event, Record
-from cloverhinge.lab.stand import ROOT, WAIT_S, ChangeLog, Program, Pump
 
 KEY = "lab-key-" * 5
 FIRST_PORT_HOST = 128  # the hub's hosts follow the routers': 127.a.b.1 and 127.a.b.128 are one router's
--- a/cloverhinge/lab/viewers.py
+++ b/cloverhinge/lab/viewers.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
+from cloverhinge.lab.harness import WAIT_S, Message, Wire
 from cloverhinge.lab.media import MediaBox
 from cloverhinge.lab.rig import Rig, Router, rig
-from cloverhinge.lab.stand import WAIT_S, Message, Wire
 
 SOON_S = 20.0  # for what has to come, also on a busy machine
 SITE_KEY = "0123456789abcdef0123456789abcdef"
--- a/cloverhinge/node.py
+++ b/cloverhinge/node.py
@@ -18,15 +18,15 @@
 from twisted.logger import Logger, globalLogBeginner, textFileLogObserver
 
 from cloverhinge import __version__
-from cloverhinge.admin import Admin, snapshot
 from cloverhinge.config import Config, from_environment
 from cloverhinge.core.clock import Clock, to_ms
+from cloverhinge.core.config_values import ConfigError
 from cloverhinge.core.deadlines import Deadlines
 from cloverhinge.core.router import Router
-from cloverhinge.core.told import ConfigError
 from cloverhinge.decision import interface as api
 from cloverhinge.discovery.updates import ListUpdate, ServerAddress
 from cloverhinge.discovery.watch import DiscoveryWatch
+from cloverhinge.operations.admin import Admin, snapshot
 from cloverhinge.rtsp.front import Front
 from cloverhinge.rtsp.media_servers import MediaServers
 from cloverhinge.shutdown import Hooks, Phase, Shutdown
@@ -96,14 +96,14 @@
         self.keeper: Any = None  # of certificates
         self.gate: Any = None  # the door, where there is one
         if site.door is not None:
-            from cloverhinge.door.gate import Gate  # loaded only where the door is wanted
+            from cloverhinge.admission.gateway import Gate  # loaded only where the door is wanted
 
             self.gate = Gate(site.door, self.router, self.deadlines, config.seed)
             self.front.identify = self.gate.clients.identify
         self.parts: list[Part] = []
         self.operation: Any = None  # of the staff, where the platform tells of them
         if config.mgmt is not None or config.listener is not None:
-            from cloverhinge.operation.part import Operation  # loaded only where the staff call
+            from cloverhinge.operations.component import Operation  # loaded only where the staff call
 
             folder = os.environ.get("TMPDIR")
             self.operation = Operation(
@@ -117,14 +117,14 @@
             )
             self.operation.shared = self.media_servers.share
         if site.members is not None:
-            from cloverhinge.members.link import Link  # loaded only where there are other routers
+            from cloverhinge.members.transport import Link  # loaded only where there are other routers
 
             self.members = Link(reactor, site.members, config.name, self.clock, self.deadlines, config.seed)
             self.parts.append(self.members)
         self.custody: Any = None  # of work in hand, where it is wanted
         if site.custody is not None:
-            from cloverhinge.custody.part import Part as Custody  # loaded only where routers keep work
-            from cloverhinge.rtsp.custody import KeptSessions
+            from cloverhinge.ownership.component import Part as Custody  # loaded only where routers keep work
+            from cloverhinge.rtsp.replicated_sessions import KeptSessions
 
             self.custody = Custody(
                 site.custody,
@@ -137,7 +137,7 @@
             )
             KeptSessions(self.custody, self.router, self.front, self.media_servers)
             if self.gate is not None and site.door is not None:
-                from cloverhinge.door.custody import KeptPromises
+                from cloverhinge.admission.replicated_reservations import KeptPromises
 
                 KeptPromises(self.custody, self.gate, site.door.quote_most_ms)
             self.parts.append(self.custody)
@@ -215,7 +215,7 @@
 
     def _start_hls(self, site: HlsSite, acme: AcmeSite | None) -> None:
         from cloverhinge.hls import front, plays  # loaded only where the front is wanted
-        from cloverhinge.hls.boxes import HlsBoxes
+        from cloverhinge.hls.media_servers import HlsBoxes
 
         boxes = HlsBoxes(
             reactor,
@@ -237,7 +237,7 @@
             None if self.gate is None else self.gate.clients.identify,
         )
         if self.custody is not None:
-            from cloverhinge.hls.custody import KeptPlays
+            from cloverhinge.hls.replicated_plays import KeptPlays
 
             KeptPlays(self.custody, held, boxes, site)
         host, port = site.listen
@@ -255,7 +255,7 @@
             self._start_acme(acme, wired)
 
     def _start_acme(self, site: AcmeSite, wired: Any) -> None:
-        from cloverhinge.acme.keeper import Keeper
+        from cloverhinge.acme.renewal import Keeper
 
         def ready() -> None:
             if self.stopping:
--- a/cloverhinge/operation/desk.py
+++ b/cloverhinge/operations/command_server.py
@@ -10,7 +10,7 @@
 
 from cloverhinge.core.deadlines import Deadlines, Key
 from cloverhinge.net.buffered import BufferedReceiver
-from cloverhinge.operation.calls import LINE_MOST, no
+from cloverhinge.operations.commands import LINE_MOST, no
 
 CALLERS_MOST = 16  # at a time
 IDLE_MS = 6000.0  # a caller without a whole call is let go then; some hold on for 4 s
--- a/cloverhinge/operation/calls.py
+++ b/cloverhinge/operations/commands.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-from cloverhinge.operation.bans import BANS_MOST, NAME_MOST
-from cloverhinge.operation.figures import Figures
+from cloverhinge.operations.maintenance import BANS_MOST, NAME_MOST
+from cloverhinge.operations.metrics import Figures
 
 LINE_MOST = 256  # bytes of a call: a word and an id
 WORDS = "status, stats, maint-on ID, maint-off ID"
--- a/cloverhinge/operation/part.py
+++ b/cloverhinge/operations/component.py
@@ -12,15 +12,15 @@
 from cloverhinge.core.clock import to_us
 from cloverhinge.core.deadlines import Deadlines
 from cloverhinge.core.router import Router
-from cloverhinge.decision.beside import known, seats_elsewhere, share, take_over
+from cloverhinge.decision.upgrade_overlap import known, seats_elsewhere, share, take_over
 from cloverhinge.discovery.updates import server_number
-from cloverhinge.operation import calls
-from cloverhinge.operation.bans import Bans
-from cloverhinge.operation.beside import Beside
-from cloverhinge.operation.desk import CALLERS_MOST, Desk
-from cloverhinge.operation.figures import Figures
-from cloverhinge.operation.overlap import Phase, encode, parts
-from cloverhinge.operation.shelf import Shelf
+from cloverhinge.operations import commands as command_lines
+from cloverhinge.operations.command_server import CALLERS_MOST, Desk
+from cloverhinge.operations.instance_files import Beside
+from cloverhinge.operations.maintenance import Bans
+from cloverhinge.operations.maintenance_file import Shelf
+from cloverhinge.operations.metrics import Figures
+from cloverhinge.operations.overlap import Phase, encode, parts
 
 SHELF_MS = 100.0  # a call at the process beside this is obeyed so soon: less than half of the shortest grace
 CALLERS_SHARE = 1 / 16  # of the descriptors at the most
@@ -53,7 +53,7 @@
             self._merge()  # before anything is sent
         self.told = False  # of this process, to others
         self.desk = Desk(
-            lambda line: calls.answer(line, self),
+            lambda line: command_lines.answer(line, self),
             deadlines,
             max(1, min(CALLERS_MOST, int(sockets * CALLERS_SHARE))),
         )
@@ -101,7 +101,7 @@
         """The same calls for those who come to the admin socket."""
 
         def call(word: str) -> Callable[[str], dict[str, Any]]:
-            return lambda about: {"answer": calls.answer(f"{word} {about}".encode(), self).strip()}
+            return lambda about: {"answer": command_lines.answer(f"{word} {about}".encode(), self).strip()}
 
         return {word: call(word) for word in ("maint-on", "maint-off")}
 
--- a/cloverhinge/operation/beside.py
+++ b/cloverhinge/operations/instance_files.py
@@ -11,7 +11,7 @@
 
 from twisted.logger import Logger
 
-from cloverhinge.operation.overlap import TOLD_MOST, Told, decode
+from cloverhinge.operations.overlap import TOLD_MOST, Told, decode
 
 OTHERS_MOST = 8  # files looked at; the platform starts one beside another
 
--- a/cloverhinge/operation/bans.py
+++ b/cloverhinge/operations/maintenance.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cloverhinge.operation.forms import read
+from cloverhinge.operations.file_formats import read
 
 BANS_MOST = 1024  # boxes left out at a time: more than a router lists
 RECORDS_MOST = 2 * BANS_MOST  # those that ended included
--- a/cloverhinge/operation/shelf.py
+++ b/cloverhinge/operations/maintenance_file.py
@@ -7,7 +7,7 @@
 
 from twisted.logger import Logger
 
-from cloverhinge.operation.bans import FILE_MOST, Record, decode
+from cloverhinge.operations.maintenance import FILE_MOST, Record, decode
 
 
 class Shelf:
--- a/cloverhinge/operation/overlap.py
+++ b/cloverhinge/operations/overlap.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from cloverhinge.decision.beside import Known
-from cloverhinge.operation.forms import read
+from cloverhinge.decision.upgrade_overlap import Known
+from cloverhinge.operations.file_formats import read
 
 TOLD_MOST = 512 * 1024  # bytes of what a process tells
 PARTS_MOST = 2  # an old process and a new one; further ones wait their turn with the platform
--- a/cloverhinge/custody/part.py
+++ b/cloverhinge/ownership/component.py
@@ -18,22 +18,22 @@
 from cloverhinge.core.deadlines import Deadlines, Key
 from cloverhinge.core.model import Ask, Attempt, Boxes, Cause, Request, State, Viewer
 from cloverhinge.core.router import Router
-from cloverhinge.custody import core, model
-from cloverhinge.custody.kept import Kept, encode, read
-from cloverhinge.custody.model import Verdict
-from cloverhinge.custody.recall import Persist
-from cloverhinge.custody.register import Phase, Work
-from cloverhinge.custody.wire import Member, name_of
 from cloverhinge.decision.interface import Effect
 from cloverhinge.members.core import Carried, Changed, Voided, trim
-from cloverhinge.members.link import Event, Link
+from cloverhinge.members.transport import Event, Link
 from cloverhinge.members.wire import Bad
 from cloverhinge.members.wire import State as MemberState
+from cloverhinge.ownership import core, model
+from cloverhinge.ownership.model import Verdict
+from cloverhinge.ownership.persistence import Persist
+from cloverhinge.ownership.register import Phase, Work
+from cloverhinge.ownership.replicated_work import Kept, encode, read
+from cloverhinge.ownership.wire import Member, name_of
 from cloverhinge.site.model import CustodySite
 from cloverhinge.store import Mark
 
 if TYPE_CHECKING:
-    from cloverhinge.custody.shelf import Shelf
+    from cloverhinge.ownership.replica_store import Shelf
 
 BY_NAME = "r"  # the letter of the front whose work goes by the session's name
 SOON_MS = 500.0  # for keepers to answer a paid claim: ten times what was sent is sent again in that time
@@ -117,7 +117,7 @@
             self.site.keepers, self.site.lease_ms, self.site.routers, self.lasts_ms, self.lasts_ms
         )
         if self.store is not None:
-            from cloverhinge.custody.shelf import Shelf  # loaded only where there is a folder
+            from cloverhinge.ownership.replica_store import Shelf  # loaded only where there is a folder
 
             reactor = self.members.reactor
             self.shelf = Shelf(self.store, own, reactor.callFromThread, self._durable, self._failed)
--- a/cloverhinge/custody/core.py
+++ b/cloverhinge/ownership/core.py
@@ -15,9 +15,9 @@
 import msgspec
 from sortedcontainers import SortedDict
 
-from cloverhinge.custody import place, register, wire
-from cloverhinge.custody.keeper import Keeper, above, intent
-from cloverhinge.custody.model import (
+from cloverhinge.members.core import trim
+from cloverhinge.ownership import placement, register, wire
+from cloverhinge.ownership.model import (
     RESEND_MOST_MS,
     RESEND_MS,
     Action,
@@ -36,11 +36,11 @@
     Try,
     Verdict,
 )
-from cloverhinge.custody.recall import Recall, Stands
-from cloverhinge.custody.register import NONE, Ballot, Phase, Slot, Work
-from cloverhinge.custody.rosters import Rosters
-from cloverhinge.custody.wire import Member, Roster, Why, name_of
-from cloverhinge.members.core import trim
+from cloverhinge.ownership.persistence import Recall, Stands
+from cloverhinge.ownership.register import NONE, Ballot, Phase, Slot, Work
+from cloverhinge.ownership.replica import Keeper, above, intent
+from cloverhinge.ownership.replica_sets import Rosters
+from cloverhinge.ownership.wire import Member, Roster, Why, name_of
 from cloverhinge.store import NO_MARK, Mark
 from cloverhinge.store import Word as JudgeWord
 
@@ -128,7 +128,7 @@
 
     def keepers(self, id: str) -> tuple[str, ...]:
         roster = self.rosters.roster
-        return () if roster is None else place.keepers(id, roster.members, self.rules.keepers + 1)
+        return () if roster is None else placement.keepers(id, roster.members, self.rules.keepers + 1)
 
     @property
     def idle(self) -> bool:
@@ -275,7 +275,7 @@
     def _leave_behind(self, now: float, id: str) -> None:
         held, others = self.held[id], [x for x in self.alive if x != self.who and self._takes_part(x, now)]
         if others and held.work.phase is Phase.STANDS and not held.to:
-            self._hand(now, held, place.successor(id, others, self.room))
+            self._hand(now, held, placement.successor(id, others, self.room))
 
     def _hand(self, now: float, held: Held, to: str) -> None:
         self._out.append(Lost(held.id, to))
@@ -681,7 +681,7 @@
         for attempt in self.tries.values():
             attempt.stage, attempt.next_ms, attempt.claims = Stage.WAIT, now, False
         for held in list(self.held.values()):
-            if any(place.lost(held.id, held.ballot[0], x, self.rules.keepers + 1) for x in roster.holes):
+            if any(placement.lost(held.id, held.ballot[0], x, self.rules.keepers + 1) for x in roster.holes):
                 self._keep(now, held)  # more may have been written of it: under a new term, or not at all
         for member in roster.members:  # whoever decided it tells it to all
             if member.who != self.who:
@@ -748,7 +748,7 @@
         if roster != self._roster or active is None or not self._among_most(now) or self.rosters.mute:
             return wire.Refused(item.id, item.ballot, Why.ROSTER)
         written = self.keeper.slots.get(item.id, register.EMPTY).accepted[0]
-        hole = any(place.lost(item.id, written, x, self.rules.keepers + 1) for x in self.rosters.holes)
+        hole = any(placement.lost(item.id, written, x, self.rules.keepers + 1) for x in self.rosters.holes)
         if isinstance(item, wire.Write):
             return self.keeper.write(now, who, item, hole)
         if hole and now - active < HOLE_WAIT_MS:
@@ -1182,7 +1182,7 @@
         here = [x for x in self.keepers(id) if x in self.alive]
         if self.who not in here:
             return
-        first = place.successor(id, here, self.room) == self.who
+        first = placement.successor(id, here, self.room) == self.who
         due = max(now, self.keeper.leases.get(owner, now)) + (0.0 if first else BACKUP_MS)
         self._queued.add(id)
         self._orphans[due, id] = None
--- a/cloverhinge/custody/model.py
+++ b/cloverhinge/ownership/model.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from cloverhinge.custody import wire
-from cloverhinge.custody.recall import Persist, Stands
-from cloverhinge.custody.register import NONE, Ballot, Phase, Work
-from cloverhinge.custody.wire import Member
+from cloverhinge.ownership import wire
+from cloverhinge.ownership.persistence import Persist, Stands
+from cloverhinge.ownership.register import NONE, Ballot, Phase, Work
+from cloverhinge.ownership.wire import Member
 
 RESEND_MS, RESEND_MOST_MS = 50.0, 800.0  # what was lost is sent again; each time after twice as long
 
--- a/cloverhinge/custody/recall.py
+++ b/cloverhinge/ownership/persistence.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from cloverhinge.custody import wire
-from cloverhinge.custody.register import NONE, Ballot, Slot, Work
-from cloverhinge.custody.wire import Member, Roster
+from cloverhinge.ownership import wire
+from cloverhinge.ownership.register import NONE, Ballot, Slot, Work
+from cloverhinge.ownership.wire import Member, Roster
 from cloverhinge.store import NO_MARK, Judge, Mark, Witness, Word
 
 if TYPE_CHECKING:
-    from cloverhinge.custody.keeper import Keeper
+    from cloverhinge.ownership.replica import Keeper
 
 ROSTER, LIVES, SLOT, HEARD = "roster", "lives", "s/", "h/"  # rows' keys: the one, and with a name behind
 CLAIM_MS = 100.0  # between claims to members that have not answered
--- a/cloverhinge/custody/place.py
+++ b/cloverhinge/ownership/placement.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable, Mapping
 from functools import lru_cache
 
-from cloverhinge.custody.register import majority
-from cloverhinge.custody.wire import Hole, Member
+from cloverhinge.ownership.register import majority
+from cloverhinge.ownership.wire import Hole, Member
 
 
 def lowest(number: int) -> int:
--- a/cloverhinge/custody/register.py
+++ b/cloverhinge/ownership/register.py
@@ -3,7 +3,7 @@
 A record's keepers are acceptors of single-decree Paxos whose value may be replaced, as CASPaxos describes it
 (Rystsov 2018); the epoch counts the owners.  A keeper that has granted an owner a lease denies others the
 record until the lease is over by its own clock (Gray and Cheriton 1989).  Every step is a function of a
-frozen state, so that all orders of events can be explored (`tests/test_custody_model.py`).
+frozen state, so that all orders of events can be explored (`tests/test_ownership_model.py`).
 """
 
 from __future__ import annotations
--- a/cloverhinge/custody/keeper.py
+++ b/cloverhinge/ownership/replica.py
@@ -6,10 +6,10 @@
 
 from sortedcontainers import SortedDict
 
-from cloverhinge.custody import register, wire
-from cloverhinge.custody.place import lowest
-from cloverhinge.custody.register import EMPTY, Ballot, Phase, Slot, Work
-from cloverhinge.custody.wire import Why
+from cloverhinge.ownership import register, wire
+from cloverhinge.ownership.placement import lowest
+from cloverhinge.ownership.register import EMPTY, Ballot, Phase, Slot, Work
+from cloverhinge.ownership.wire import Why
 
 SLOTS_MOST = 65_536  # records kept: of 50,000 sessions, and a third as many that are over
 GENERATIONS = 1 << 20  # a roster's generations of leases: above all that earlier rosters' could reach
--- a/cloverhinge/custody/rosters.py
+++ b/cloverhinge/ownership/replica_sets.py
@@ -16,11 +16,11 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from cloverhinge.custody import wire
-from cloverhinge.custody.keeper import above
-from cloverhinge.custody.recall import Votes
-from cloverhinge.custody.register import NONE, Ballot, majority
-from cloverhinge.custody.wire import Hole, Member, Roster
+from cloverhinge.ownership import wire
+from cloverhinge.ownership.persistence import Votes
+from cloverhinge.ownership.register import NONE, Ballot, majority
+from cloverhinge.ownership.replica import above
+from cloverhinge.ownership.wire import Hole, Member, Roster
 
 SETTLE_MS = 700.0  # members that differ from the roster for so long are a reason for the next one
 STAGGER_MS = 400.0  # and for each member before this one in the list, so that one proposes at a time
--- a/cloverhinge/custody/shelf.py
+++ b/cloverhinge/ownership/replica_store.py
@@ -1,4 +1,4 @@
-"""A keeper's store on disk: opened at its start, written in a thread.  What it means: recall.py."""
+"""A keeper's store on disk: opened at its start, written in a thread.  What it means: persistence.py."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from twisted.logger import Logger
 
-from cloverhinge.custody.recall import Persist, Recall, Stands
-from cloverhinge.custody.wire import Member
+from cloverhinge.ownership.persistence import Persist, Recall, Stands
+from cloverhinge.ownership.wire import Member
 from cloverhinge.store import Mark
 from cloverhinge.store.folder import Folder, Unusable
 from cloverhinge.store.writer import Writer
--- a/cloverhinge/custody/kept.py
+++ b/cloverhinge/ownership/replicated_work.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from cloverhinge.core.model import Ask
-from cloverhinge.custody.register import Work
+from cloverhinge.ownership.register import Work
 
 
 class Kept(msgspec.Struct, array_like=True):
--- a/cloverhinge/custody/wire.py
+++ b/cloverhinge/ownership/wire.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Meta
 
-from cloverhinge.custody.register import Ballot, Work
 from cloverhinge.members.wire import Bad, Name, Number
+from cloverhinge.ownership.register import Ballot, Work
 
 T = TypeVar("T")
 
--- a/cloverhinge/rtsp/custody.py
+++ b/cloverhinge/rtsp/replicated_sessions.py
@@ -4,9 +4,9 @@
 
 from cloverhinge.core.model import Request
 from cloverhinge.core.router import Router
-from cloverhinge.custody.kept import Kept, read
-from cloverhinge.custody.part import BY_NAME as LETTER
-from cloverhinge.custody.part import Part
+from cloverhinge.ownership.component import BY_NAME as LETTER
+from cloverhinge.ownership.component import Part
+from cloverhinge.ownership.replicated_work import Kept, read
 from cloverhinge.rtsp.client import RtspClient
 from cloverhinge.rtsp.front import Front
 from cloverhinge.rtsp.media_servers import MediaServers
--- a/cloverhinge/site/schema.py
+++ b/cloverhinge/site/schema.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from cloverhinge.core.told import ConfigError, address
+from cloverhinge.core.config_values import ConfigError, address
 from cloverhinge.site.model import (
     AcmeSite,
     ClientSite,
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from cloverhinge.custody import core as custody
-from cloverhinge.custody import keeper, part, place, register
-from cloverhinge.custody import wire as custody_wire
 from cloverhinge.members import core, watch, wire
-from tests import operation_guards, store_guards
+from cloverhinge.ownership import component, placement, register, replica
+from cloverhinge.ownership import core as custody
+from cloverhinge.ownership import wire as custody_wire
+from tests import operations_guards, store_guards
 
 VARIABLE = "LAB_GUARD_OUT"
 
@@ -119,7 +119,7 @@
 
 
 def no_leases() -> None:
-    keeper.Keeper.lease_left = lambda self, owner, now: 0.0  # type: ignore[method-assign]
+    replica.Keeper.lease_left = lambda self, owner, now: 0.0  # type: ignore[method-assign]
 
 
 def sends_unleased() -> None:
@@ -127,11 +127,11 @@
 
 
 def no_generations() -> None:
-    keeper.Keeper._fence = lambda self, owner: None  # type: ignore[method-assign]
+    replica.Keeper._fence = lambda self, owner: None  # type: ignore[method-assign]
 
 
 def releases_at_once() -> None:
-    part.Part.release = (  # type: ignore[method-assign]
+    component.Part.release = (  # type: ignore[method-assign]
         lambda self, request, cause: request.boxes.release(request, cause)
     )
 
@@ -144,7 +144,7 @@
 
 
 def no_holes() -> None:
-    place.lost = lambda *_: False
+    placement.lost = lambda *_: False
 
 
 def claims_of_most() -> None:
@@ -155,7 +155,7 @@
 
 
 REAL, VIRTUAL = "tests/test_lab_members.py", "tests/test_members.py"
-KEPT, MODELLED = "tests/test_lab_custody.py", "tests/test_custody.py"
+KEPT, MODELLED = "tests/test_lab_ownership.py", "tests/test_ownership.py"
 GUARDS: dict[str, tuple[Callable[[], None], list[str]]] = {
     "a process that slept credits the others with that time": (
         no_pauses,
@@ -253,10 +253,10 @@
 GROUPS = {
     "members": dict(GUARDS),
     "custody": CUSTODY,
-    "operation": operation_guards.GUARDS,
+    "operation": operations_guards.GUARDS,
     "store": store_guards.GUARDS,
 }
-GUARDS |= CUSTODY | operation_guards.GUARDS | store_guards.GUARDS
+GUARDS |= CUSTODY | operations_guards.GUARDS | store_guards.GUARDS
 
 
 def out() -> None:
--- a/tests/operation_guards.py
+++ b/tests/operations_guards.py
@@ -9,10 +9,10 @@
 from cloverhinge.core.router import Router
 from cloverhinge.decision.state import Limit, Server
 from cloverhinge.discovery.watch import DiscoveryWatch
-from cloverhinge.operation import part
-from cloverhinge.operation.beside import Beside
-from cloverhinge.operation.desk import Caller, Desk
-from cloverhinge.operation.shelf import Shelf
+from cloverhinge.operations import component
+from cloverhinge.operations.command_server import Caller, Desk
+from cloverhinge.operations.instance_files import Beside
+from cloverhinge.operations.maintenance_file import Shelf
 from cloverhinge.rtsp import server_pool
 from cloverhinge.rtsp.front import Front
 
@@ -63,7 +63,7 @@
 
 
 def looks_once() -> None:
-    part.SHELF_MS = 1e9
+    component.SHELF_MS = 1e9
 
 
 def lives_for_good() -> None:
@@ -84,7 +84,7 @@
     Router.leave = counting  # type: ignore[method-assign]
 
 
-PURE, REAL = "tests/test_operation.py", "tests/test_operation_network.py"
+PURE, REAL = "tests/test_operations.py", "tests/test_operations_network.py"
 UPGRADE = f"{REAL}::test_a_new_version_takes_over_and_no_request_is_lost_twice_and_back"
 GUARDS: dict[str, tuple[Callable[[], None], list[str]]] = {
     "a ban lies over whatever the list says": (
--- a/tests/store_guards.py
+++ b/tests/store_guards.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from cloverhinge.custody import recall
-from cloverhinge.custody.keeper import Keeper
-from cloverhinge.custody.recall import Recall
+from cloverhinge.ownership import persistence
+from cloverhinge.ownership.persistence import Recall
+from cloverhinge.ownership.replica import Keeper
 from cloverhinge.store import proof
 from cloverhinge.store import rows as form
 from cloverhinge.store.folder import Folder
 
 
 def speaks_first() -> None:
-    recall.BINDING = ()  # type: ignore[assignment]
+    persistence.BINDING = ()  # type: ignore[assignment]
 
 
 def believes_itself() -> None:
@@ -29,7 +29,7 @@
     of = Recall.of.__func__  # type: ignore[attr-defined]
 
     def alone(cls: type[Recall], own: Any, claim: Any, mark: Any, rows: Any) -> Recall:
-        return of(cls, own, claim, mark, {x: y for x, y in rows.items() if x != recall.LIVES})  # type: ignore[no-any-return]
+        return of(cls, own, claim, mark, {x: y for x, y in rows.items() if x != persistence.LIVES})  # type: ignore[no-any-return]
 
     Recall.of = classmethod(alone)  # type: ignore[assignment,method-assign]
 
@@ -79,7 +79,7 @@
     Keeper.load = bare  # type: ignore[method-assign]
 
 
-REAL, PARTS, MODELLED = "tests/test_lab_store.py", "tests/test_store.py", "tests/test_custody.py"
+REAL, PARTS, MODELLED = "tests/test_lab_store.py", "tests/test_store.py", "tests/test_ownership.py"
 GUARDS: dict[str, tuple[Callable[[], None], list[str]]] = {
     "nothing binding is said before it is on the disk": (
         speaks_first,
--- a/tests/test_acme.py
+++ b/tests/test_acme.py
@@ -16,12 +16,12 @@
 
 import pytest
 
-from cloverhinge import console
 from cloverhinge.acme.issue import issue, new_account_key
-from cloverhinge.acme.keeper import Keeper
+from cloverhinge.acme.renewal import Keeper
 from cloverhinge.core.clock import ManualClock
 from cloverhinge.core.deadlines import Deadlines
-from cloverhinge.lab.stand import ROOT, WAIT_S, site
+from cloverhinge.lab.harness import ROOT, WAIT_S, site
+from cloverhinge.operations import console
 from cloverhinge.site import AcmeSite
 from tests.authority import Authority
 
--- a/tests/test_door.py
+++ b/tests/test_admission.py
@@ -10,16 +10,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverhinge.door import fair
-from cloverhinge.door.clients import Clients, Forged, prove
-from cloverhinge.door.forecast import LifeTable, curve
-from cloverhinge.door.promises import Promise, Promises
-from cloverhinge.door.tickets import Tickets
+from cloverhinge.admission import fair_queue
+from cloverhinge.admission.clients import Clients, Forged, prove
+from cloverhinge.admission.forecast import LifeTable, curve
+from cloverhinge.admission.reservation_tokens import Tickets
+from cloverhinge.admission.reservations import Promise, Promises
 from cloverhinge.site import ClientSite
 
-POOL = fair.Pool("free", 0, 4)
-PAID = fair.Pool("paid", 0, 4)
-CLASSES = {"free": fair.ClassRule(1.0, 5000.0), "paid": fair.ClassRule(2.0, 3000.0)}
+POOL = fair_queue.Pool("free", 0, 4)
+PAID = fair_queue.Pool("paid", 0, 4)
+CLASSES = {"free": fair_queue.ClassRule(1.0, 5000.0), "paid": fair_queue.ClassRule(2.0, 3000.0)}
 
 
 class Line:
@@ -30,25 +30,25 @@
     ) -> None:
         self.places, self.now, self.count = places, 1_000_000.0, 0
         clients = [
-            fair.Client(f"c{n}", weight, False, Promises(promises, promises))
+            fair_queue.Client(f"c{n}", weight, False, Promises(promises, promises))
             for n, weight in enumerate(weights)
         ]
-        self.door = fair.Door(
+        self.door = fair_queue.Door(
             clients, CLASSES, 4, lambda pool: max(0, self.places - len(self.door.held)), waiting
         )
-        self.answers: dict[int, list[fair.Verdict]] = {}
+        self.answers: dict[int, list[fair_queue.Verdict]] = {}
         self.clients: dict[int, int] = {}  # of each who asked
 
     def ask(
         self,
         client: int = 0,
         viewer: int | None = None,
-        pool: fair.Pool = POOL,
+        pool: fair_queue.Pool = POOL,
         wait_ms: float = 3000.0,
         promise: Promise | None = None,
     ) -> int:
         self.count += 1
-        one = fair.Arrival(
+        one = fair_queue.Arrival(
             self.count,
             client,
             0,
@@ -62,12 +62,12 @@
         self._carry_out(self.door.arrive(self.now, one))
         return self.count
 
-    def _carry_out(self, verdicts: list[fair.Verdict]) -> None:
+    def _carry_out(self, verdicts: list[fair_queue.Verdict]) -> None:
         while verdicts:
             entered = False
             for verdict in verdicts:
                 self.answers[verdict.number].append(verdict)
-                if isinstance(verdict, fair.LetIn):
+                if isinstance(verdict, fair_queue.LetIn):
                     entered = True
                     self.door.stands(self.now, verdict.number, 0, 0.0)
             verdicts = self.door.serve(self.now) if entered else []
@@ -83,11 +83,11 @@
             self._carry_out(self.door.look(self.now))
 
     def let_in(self, number: int) -> bool:
-        return any(isinstance(one, fair.LetIn) for one in self.answers[number])
+        return any(isinstance(one, fair_queue.LetIn) for one in self.answers[number])
 
-    def quote(self, number: int) -> fair.TurnAway:
+    def quote(self, number: int) -> fair_queue.TurnAway:
         (told,) = self.answers[number]
-        assert isinstance(told, fair.TurnAway)
+        assert isinstance(told, fair_queue.TurnAway)
         return told
 
     def steady(self, length_ms: float = 1000.0) -> None:
@@ -142,7 +142,7 @@
         for number, told in line.answers.items():
             assert told or number in line.door.waiters or number in gone, "answered, waiting or gone"
         assert len(line.door.held) >= line.places or not line.door.waiters, "work-conserving"
-        assert len(line.door.waiters) <= 4 + fair.RESERVED * 3
+        assert len(line.door.waiters) <= 4 + fair_queue.RESERVED * 3
         for at, one in enumerate(line.door.clients):
             assert len(one.promises) <= 8 and one.asked == one.let_in + one.refused + one.waiting + sum(
                 1 for n in gone if line.clients[n] == at
@@ -173,7 +173,7 @@
             break
         lowest = min(thirsty, key=lambda n: shares[n] / weights[n])
         shares[lowest] += drop
-    assert fair.max_min(float(room), demands, weights) == pytest.approx(shares, abs=0.05)
+    assert fair_queue.max_min(float(room), demands, weights) == pytest.approx(shares, abs=0.05)
 
 
 def test_a_client_under_its_share_goes_before_one_over_it() -> None:
@@ -225,7 +225,7 @@
             if line.let_in(number):
                 seen.add(number)
                 came.append(numbers[number])
-    assert came.count("paid") > 2 * came.count("free") >= 2 * 60 * fair.CLASS_FLOOR
+    assert came.count("paid") > 2 * came.count("free") >= 2 * 60 * fair_queue.CLASS_FLOOR
 
 
 def test_who_waits_is_answered_at_once_when_it_will_not_do() -> None:
--- a/tests/test_door_network.py
+++ b/tests/test_admission_network.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from cloverhinge.door.clients import prove
-from cloverhinge.lab.stand import SETTINGS, WAIT_S, Program, Pump, Wire, answer, site
+from cloverhinge.admission.clients import prove
+from cloverhinge.lab.harness import SETTINGS, WAIT_S, Program, Pump, Wire, answer, site
 from tests.test_hls import MediaBox, Player
 
 KEY = "m" * 16
--- a/tests/test_door_world.py
+++ b/tests/test_admission_world.py
@@ -16,10 +16,10 @@
 import pytest
 
 from benchmarks.world import CLASSES, Crowd, Viewer, World, settings
+from cloverhinge.admission import fair_queue
+from cloverhinge.admission.gateway import Gate
 from cloverhinge.core.model import State
 from cloverhinge.decision import interface as api
-from cloverhinge.door import fair
-from cloverhinge.door.gate import Gate
 from cloverhinge.site import ClientSite, DoorSite
 
 MAPLE = ClientSite("maple", 1.0, (ip_network("10.1.0.0/16"),))
@@ -81,7 +81,7 @@
     tracemalloc.stop()
     assert real.tally.served - served >= 0.9 * 5 * 30, "half of the room, which is for 10 a second"
     assert rows(gate)["others"]["share"] <= 0.56 and rows(gate)["others"]["out"] <= 2048
-    assert len(gate.door.clients[-1].buckets) <= fair.BUCKETS and grown < 2_000_000
+    assert len(gate.door.clients[-1].buckets) <= fair_queue.BUCKETS and grown < 2_000_000
 
 
 def test_seats_of_one_title_hold_and_who_waits_gets_them() -> None:
@@ -140,7 +140,7 @@
     before = made.router.counters.attempts
     made.run(500.0)
     assert made.router.counters.attempts == before, "nobody is let in any more"
-    assert "cloverhinge.door.gate" in sys.modules
+    assert "cloverhinge.admission.gateway" in sys.modules
 
 
 def test_retries_after_an_outage_come_spread() -> None:
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cloverhinge.lab.stand import WAIT_S, Program, Pump, Wire, answer, ask, site
+from cloverhinge.lab.harness import WAIT_S, Program, Pump, Wire, answer, ask, site
 
 TEST = "OPTIONS rtsp://media/ping RTSP/1.0"
 PUSHED = "00000000000000ff"  # session of a test that shows that all which came before it has been read
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from cloverhinge.lab.stand import WAIT_S, ChangeLog, Pump, Wire, answer, ask, site
+from cloverhinge.lab.harness import WAIT_S, ChangeLog, Pump, Wire, answer, ask, site
 
 TOLD_S = 4.0  # what a silent log has to tell counts as told so long after its silence began
 DRAIN_GRACE_S = 0.25
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from cloverhinge.lab.stand import ROOT, WAIT_S
+from cloverhinge.lab.harness import ROOT, WAIT_S
 
 
 def test_a_newcomer_s_first_steps() -> None:
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from cloverhinge.lab.stand import ROOT, WAIT_S, ChangeLog, Message, Program, Pump, Wire, answer, ask, site
+from cloverhinge.lab.harness import ROOT, WAIT_S, ChangeLog, Message, Program, Pump, Wire, answer, ask, site
 
 HERD = 200  # routers that start at once, as on the whole fleet's days
 HERD_WAIT_S = 120.0  # for all of them together, on a machine of a few cores
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -9,7 +9,7 @@
 from cloverhinge.core.deadlines import Deadlines
 from cloverhinge.core.model import Ask, Boxes, Viewer
 from cloverhinge.core.router import Router
-from cloverhinge.lab.stand import answer, ask, site
+from cloverhinge.lab.harness import answer, ask, site
 from cloverhinge.rtsp import messages
 from cloverhinge.rtsp.front import Front
 from cloverhinge.rtsp.intake import QUEUED_BYTES_MOST, QUEUED_MOST, TURN_MS, Intake, Queue, SetUp
--- a/tests/test_hls.py
+++ b/tests/test_hls.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from cloverhinge.lab.stand import WAIT_S, ChangeLog, Program, Pump, site
+from cloverhinge.lab.harness import WAIT_S, ChangeLog, Program, Pump, site
 
 MASTER = (
     "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=800000\n{0}/low.m3u8\n"
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from cloverhinge.lab.stand import answer, ask, ping, site
+from cloverhinge.lab.harness import answer, ask, ping, site
 
 OVERDUE_S = 3.2  # longer than any limit on silent clients
 TABLE = 24  # connections that a program of 64 descriptors holds
--- a/tests/test_lab_hub.py
+++ b/tests/test_lab_hub.py
@@ -8,9 +8,9 @@
 
 import pytest
 
+from cloverhinge.lab.harness import WAIT_S, Pump, Wire, answer, ask
 from cloverhinge.lab.hub import Hub
 from cloverhinge.lab.record import Record
-from cloverhinge.lab.stand import WAIT_S, Pump, Wire, answer, ask
 
 HOSTS = ["127.91.0.1", "127.91.0.2"]
 
--- a/tests/test_lab_members.py
+++ b/tests/test_lab_members.py
@@ -16,9 +16,9 @@
 import pytest
 
 from cloverhinge.lab import checks
+from cloverhinge.lab.harness import ROOT
 from cloverhinge.lab.rig import KEY, Rig, Router, rig
 from cloverhinge.lab.schedule import Step, faults, play, read
-from cloverhinge.lab.stand import ROOT
 from cloverhinge.members import wire
 from tests import guards
 
--- a/tests/test_lab_custody.py
+++ b/tests/test_lab_ownership.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 from typing import Any
 
-from cloverhinge import console
 from cloverhinge.lab import viewers
+from cloverhinge.lab.harness import SETTINGS, WAIT_S, Message, Pump, Wire
 from cloverhinge.lab.media import set_ups
 from cloverhinge.lab.rig import Rig, rig
-from cloverhinge.lab.stand import SETTINGS, WAIT_S, Message, Pump, Wire
 from cloverhinge.lab.viewers import SOON_S, final, play, set_up, until_rostered
+from cloverhinge.operations import console
 from tests import guards
 
 
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from cloverhinge.lab.stand import ROOT, WAIT_S, ChangeLog, Message, Pump, Wire, answer, ask, site
+from cloverhinge.lab.harness import ROOT, WAIT_S, ChangeLog, Message, Pump, Wire, answer, ask, site
 from tests import guards
 
 
@@ -347,7 +347,7 @@
 
 def test_a_bad_configuration_is_one_line_and_no_start(tmp_path: Path) -> None:
     from cloverhinge import config
-    from cloverhinge.core.told import ConfigError
+    from cloverhinge.core.config_values import ConfigError
 
     (tmp_path / "config.json").write_text(json.dumps({"name": "n0"}))
     with pytest.raises(ConfigError, match="settings"):
--- a/tests/test_operation.py
+++ b/tests/test_operations.py
@@ -12,12 +12,12 @@
 from cloverhinge.core.clock import to_us
 from cloverhinge.core.model import Ask, Cause, Presence, Request, State
 from cloverhinge.decision import interface as api
-from cloverhinge.decision.beside import known, seats_elsewhere, share, take_over
 from cloverhinge.decision.interface import Outcome
-from cloverhinge.operation import bans, calls, overlap
-from cloverhinge.operation.bans import Bans, Record
-from cloverhinge.operation.figures import Figures
-from cloverhinge.operation.overlap import Phase
+from cloverhinge.decision.upgrade_overlap import known, seats_elsewhere, share, take_over
+from cloverhinge.operations import commands, maintenance, overlap
+from cloverhinge.operations.maintenance import Bans, Record
+from cloverhinge.operations.metrics import Figures
+from cloverhinge.operations.overlap import Phase
 from tests.helpers import BASE, Drive, of
 from tests.test_core import Stand
 
@@ -57,30 +57,30 @@
     ],
 )
 def test_whatever_is_no_call_gets_one_plain_no(line: bytes) -> None:
-    said = calls.answer(line, Asked())
+    said = commands.answer(line, Asked())
     assert said.startswith("NAK ") and said.count("\n") == 1
 
 
 def test_calls_may_be_repeated_and_one_ends_a_ban() -> None:
     router = Asked()
     for _ in range(3):
-        assert calls.answer(b" maint-on s-1\r", router) == "ACK\n"
-    assert calls.answer(b"stats", router).splitlines() == [
+        assert commands.answer(b" maint-on s-1\r", router) == "ACK\n"
+    assert commands.answer(b"stats", router).splitlines() == [
         "ACK",
         "active=3",
         "pool_size=2",
         "pool_ejected=1",
         "--",
     ]
-    assert calls.answer(b"maint-off s-1", router) == "ACK\n" and not router.bans.out
+    assert commands.answer(b"maint-off s-1", router) == "ACK\n" and not router.bans.out
     router.waits_for = "starting"
-    assert calls.answer(b"status", router) == "NAK starting\n"
+    assert commands.answer(b"status", router) == "NAK starting\n"
 
 
 def test_bans_are_bounded_and_an_id_that_left_the_list_stays_known(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(bans, "BANS_MOST", 2)
-    monkeypatch.setattr(bans, "RECORDS_MOST", 4)
-    monkeypatch.setattr(bans, "NAMES_MOST", 3)
+    monkeypatch.setattr(maintenance, "BANS_MOST", 2)
+    monkeypatch.setattr(maintenance, "RECORDS_MOST", 4)
+    monkeypatch.setattr(maintenance, "NAMES_MOST", 3)
     held = Bans()
     assert [held.tell(f"s-{n}", True, float(n)) for n in range(3)] == [True, True, False]
     for n in range(50):
@@ -100,7 +100,7 @@
     one, other = Bans(), Bans()
     for name, out, at in told:
         (one if order.random() < 0.5 else other).tell(name, out, float(at))
-    mine, theirs = dict(one.records), bans.decode(other.encode())
+    mine, theirs = dict(one.records), maintenance.decode(other.encode())
     one.merge(theirs, 10.0)
     for name in order.sample(sorted(mine), len(mine)):
         other.merge({name: mine[name]}, 10.0)
@@ -121,7 +121,7 @@
 )
 def test_a_bad_file_is_one_plain_sentence(data: bytes, says: str) -> None:
     with pytest.raises(ValueError, match=says):
-        bans.decode(data)
+        maintenance.decode(data)
 
 
 class Person:
--- a/tests/test_operation_network.py
+++ b/tests/test_operations_network.py
@@ -15,12 +15,12 @@
 
 import pytest
 
-from cloverhinge import console
-from cloverhinge.lab import stand
-from cloverhinge.lab.stand import WAIT_S, ChangeLog, Message, Program, Pump, Wire, answer, ask
+from cloverhinge.lab import harness
+from cloverhinge.lab.harness import WAIT_S, ChangeLog, Message, Program, Pump, Wire, answer, ask
+from cloverhinge.operations import console
 from tests import guards
 
-site = partial(stand.site, program=guards.program())
+site = partial(harness.site, program=guards.program())
 FIGURES = {"ok", "shed", "errors", "tries"}
 
 
--- a/tests/test_custody.py
+++ b/tests/test_ownership.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from cloverhinge.custody import place, register
-from cloverhinge.custody.model import Rules, Stage, Verdict
-from cloverhinge.custody.register import EMPTY, Accepted, Denied, Phase, Slot, Work
-from cloverhinge.custody.wire import Hole, Member
 from cloverhinge.emulator.disks import Disk
-from cloverhinge.emulator.keeping import Fetch, Keepers, rough
+from cloverhinge.emulator.ownership_world import Fetch, Keepers, rough
+from cloverhinge.ownership import placement, register
+from cloverhinge.ownership.model import Rules, Stage, Verdict
+from cloverhinge.ownership.register import EMPTY, Accepted, Denied, Phase, Slot, Work
+from cloverhinge.ownership.wire import Hole, Member
 
-SEEDS = range(10)  # of random schedules; more with `python -m tests.test_custody FIRST LAST`
+SEEDS = range(10)  # of random schedules; more with `python -m tests.test_ownership FIRST LAST`
 SPAN_MS = 30_000.0
 
 
@@ -252,24 +252,24 @@
     members = tuple(Member(f"r{n}", n, f"s{n % 3}") for n in range(9))
     sites = {x.who: x.site for x in members}
     for number in range(100):
-        those = place.keepers(f"h/{number}", members, 3)
+        those = placement.keepers(f"h/{number}", members, 3)
         assert {sites[x] for x in those} == {"s0", "s1", "s2"}
-    counts = [sum(x.who in place.keepers(f"h/{n}", members, 3) for n in range(300)) for x in members]
+    counts = [sum(x.who in placement.keepers(f"h/{n}", members, 3) for n in range(300)) for x in members]
     assert min(counts) > 50, counts
 
 
 def test_a_successor_is_drawn_by_room() -> None:
     room = {"a": 300.0, "b": 100.0, "c": 0.0}
-    drawn = [place.successor(f"h/{n}", ("a", "b", "c"), room) for n in range(400)]
+    drawn = [placement.successor(f"h/{n}", ("a", "b", "c"), room) for n in range(400)]
     assert drawn.count("a") > 2 * drawn.count("b") > 20 * drawn.count("c")
 
 
 def test_a_record_is_lost_with_most_of_its_keepers_until_it_is_written_again() -> None:
     members = tuple(Member(f"r{n}", n) for n in range(5))
-    those = place.keepers("h/1", members, 3)
-    assert place.lost("h/1", 0, Hole(4, members, those[:2]), 3)
-    assert not place.lost("h/1", 0, Hole(4, members, those[:1]), 3)
-    assert not place.lost("h/1", place.lowest(5) + 1, Hole(4, members, those[:2]), 3)
+    those = placement.keepers("h/1", members, 3)
+    assert placement.lost("h/1", 0, Hole(4, members, those[:2]), 3)
+    assert not placement.lost("h/1", 0, Hole(4, members, those[:1]), 3)
+    assert not placement.lost("h/1", placement.lowest(5) + 1, Hole(4, members, those[:2]), 3)
 
 
 def test_a_claim_is_taken_only_where_nobody_came_and_a_term_is_written_on_under() -> None:
@@ -292,7 +292,7 @@
 
 
 def main() -> None:
-    """Random schedules by the hundred: `python -m tests.test_custody FIRST LAST [stores]`."""
+    """Random schedules by the hundred: `python -m tests.test_ownership FIRST LAST [stores]`."""
     import sys
     from concurrent.futures import ProcessPoolExecutor
     from functools import partial
--- a/tests/test_custody_model.py
+++ b/tests/test_ownership_model.py
@@ -14,8 +14,8 @@
 import msgspec
 import pytest
 
-from cloverhinge.custody import register
-from cloverhinge.custody.register import EMPTY, Accepted, Phase, Promise, Proposal, Slot, Work
+from cloverhinge.ownership import register
+from cloverhinge.ownership.register import EMPTY, Accepted, Phase, Promise, Proposal, Slot, Work
 
 KEEPERS = 3
 ROUTERS = ("A", "P", "Q")
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverhinge.lab.stand import answer, ask, site
+from cloverhinge.lab.harness import answer, ask, site
 
 PARTIAL_S = 0.6  # longer than a message from a server may stay unfinished
 DEAD_S = 8.0  # longer than a server with sessions may say nothing
--- a/tests/test_relisted_servers.py
+++ b/tests/test_relisted_servers.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from cloverhinge.lab.stand import WAIT_S, Message, Pump, Wire, answer, ask, site
+from cloverhinge.lab.harness import WAIT_S, Message, Pump, Wire, answer, ask, site
 
 
 class Mute(Pump):
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -17,7 +17,7 @@
 from cloverhinge.core.model import Boxes
 from cloverhinge.core.router import Router
 from cloverhinge.core.slots import Table
-from cloverhinge.lab.stand import Message, Pump, Wire, answer, ask, site
+from cloverhinge.lab.harness import Message, Pump, Wire, answer, ask, site
 from cloverhinge.rtsp import messages
 from cloverhinge.rtsp.client import RtspClient
 from cloverhinge.rtsp.client_connection import ClientConnection
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from cloverhinge.lab.stand import WAIT_S, Message, Program, Wire, answer, ask, ping, site
+from cloverhinge.lab.harness import WAIT_S, Message, Program, Wire, answer, ask, ping, site
 
 ACCEPT_S = 0.9  # longer than requests are accepted after SIGTERM
 EXIT_S = 1.0  # longer than the end takes where nothing is open
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -10,8 +10,8 @@
 import pytest
 
 from cloverhinge import site
-from cloverhinge.core.told import ConfigError
-from cloverhinge.lab.stand import ROOT, WAIT_S
+from cloverhinge.core.config_values import ConfigError
+from cloverhinge.lab.harness import ROOT, WAIT_S
 
 KEY = "k" * 32
 HLS = f'[hls]\nlisten = "127.0.0.1:0"\nkey = "{KEY}"\n'
@@ -102,8 +102,8 @@
     code = (
         "import sys; import cloverhinge.cli, cloverhinge.node\n"
         "print([x for x in sys.modules if x.split('.')[0] in ('msgspec', 'm3u8', 'acme', 'josepy',"
-        " 'apsw') or x.startswith(('cloverhinge.door', 'cloverhinge.site.schema', 'cloverhinge.hls',"
-        " 'cloverhinge.members', 'cloverhinge.custody', 'cloverhinge.store', 'cloverhinge.lab',"
+        " 'apsw') or x.startswith(('cloverhinge.admission', 'cloverhinge.site.schema', 'cloverhinge.hls',"
+        " 'cloverhinge.members', 'cloverhinge.ownership', 'cloverhinge.store', 'cloverhinge.lab',"
         " 'cloverhinge.emulator'))])"
     )
     done = subprocess.run(
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cloverhinge.lab.stand import ROOT, SETTINGS, ChangeLog, Program
+from cloverhinge.lab.harness import ROOT, SETTINGS, ChangeLog, Program
 
 SITES = sorted((ROOT / "deploy/sites").glob("*.toml"))
 EFFECTS = {"safe": "repeatable", "unsafe": "once"}
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,9 +15,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverhinge.custody.recall import Stands
-from cloverhinge.custody.shelf import Shelf
-from cloverhinge.custody.wire import Member
+from cloverhinge.ownership.persistence import Stands
+from cloverhinge.ownership.replica_store import Shelf
+from cloverhinge.ownership.wire import Member
 from cloverhinge.store import NO_MARK, Judge, Mark, Witness, Word
 from cloverhinge.store import rows as form
 from cloverhinge.store.folder import FILE, Folder, Unusable
