--- a/benchmarks/custody.py
+++ b/benchmarks/custody.py
@@ -231,30 +231,30 @@
 
     def __init__(self) -> None:
         members = [Member(f"r{n}", n + 1, "main") for n in range(3)]
-        self.machines = {x.who: core.Custody(x, model.Rules(routers=3), x.run) for x in members}
+        self.machines = {x.member_id: core.OwnershipCore(x, model.Rules(routers=3), x.run) for x in members}
         self.now, self.bytes = 1000.0, 0
         for machine in self.machines.values():
-            machine.view({x: 1 for x in members}, False, {})
+            machine.update_members({x: 1 for x in members}, False, {})
         self.tick(100)
-        self.owner = self.machines[members[0].who]
+        self.owner = self.machines[members[0].member_id]
 
     def act(self, own: str, actions: list[model.Action]) -> None:
         for action in actions:
             if isinstance(action, model.Send):
                 self.bytes += len(action.body)
-                other = self.machines[action.to.who]
-                self.act(action.to.who, other.heard(self.now, self.machines[own].own, action.body))
+                other = self.machines[action.to.member_id]
+                self.act(action.to.member_id, other.receive(self.now, self.machines[own].own, action.body))
 
     def tick(self, times: int = 1) -> None:
         for _ in range(times):
             self.now += core.TICK_MS
             for who, machine in self.machines.items():
-                self.act(who, machine.due(self.now))
+                self.act(who, machine.tick(self.now))
 
     def take(self, number: int, body: bytes) -> None:
         id, owner = f"h/{number:032x}", self.owner
-        self.act(owner.who, owner.claim(self.now, number, id, True, body, self.now + 500, self.now + 500))
-        self.act(owner.who, owner.update(self.now, id, Phase.STANDS, body))
+        self.act(owner.own_id, owner.claim(self.now, number, id, True, body, self.now + 500, self.now + 500))
+        self.act(owner.own_id, owner.update(self.now, id, Phase.STANDS, body))
 
 
 def records() -> Rows:
@@ -268,7 +268,7 @@
             if number % 100 == 0:
                 made.tick()
         took, size = time.process_time() - begun, made.bytes - before
-        assert len(made.owner.held) == count
+        assert len(made.owner.owned) == count
         begun = time.process_time()
         made.tick(80)  # two seconds
         idle = (time.process_time() - begun) / 2.0 / 3.0
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -26,8 +26,8 @@
 
 from benchmarks.tables import keep
 from benchmarks.world import Crowd, World, settings
-from cloverhinge.admission.gateway import Gate
-from cloverhinge.core.model import Ask
+from cloverhinge.admission.gateway import AdmissionGateway
+from cloverhinge.core.model import SetUpRequest
 from cloverhinge.site import ClientSite, DoorSite
 
 MAPLE, BIRCH = ip_network("10.1.0.0/16"), ip_network("10.2.0.0/16")
@@ -47,11 +47,11 @@
 class Timed:
     """The time spent in the door, room checks included, and in all of the core."""
 
-    def __init__(self, gate: Gate | None, world: World) -> None:
+    def __init__(self, gate: AdmissionGateway | None, world: World) -> None:
         self.door_s, self.calls, self.depth = 0.0, 0, 0
-        for name in ("arrive", "serve", "changed", "look") if gate is not None else ():
+        for name in ("arrive", "serve", "changed", "poll") if gate is not None else ():
             assert gate is not None
-            setattr(gate.door, name, self._wrap(getattr(gate.door, name)))
+            setattr(gate.queue, name, self._wrap(getattr(gate.queue, name)))
 
     def _wrap(self, call: Callable[..., Any]) -> Callable[..., Any]:
         def timed(*words: Any) -> Any:
@@ -80,7 +80,7 @@
                 Crowd("birch", "10.2.0.1", 50, checks=0.2, patience_ms=90_000.0, **more),
             ]
             world = World(settings(4, 50), crowds)
-            gate = Gate(DOOR, world.router, world.deadlines, 1) if on else None
+            gate = AdmissionGateway(DOOR, world.router, world.deadlines, 1) if on else None
             timed, since = Timed(gate, world), time.process_time()
             world.run(60_000.0)
             took = time.process_time() - since
@@ -125,7 +125,7 @@
         ]
         world = World(settings(4, 50), crowds)
         if on:
-            Gate(DOOR, world.router, world.deadlines, 1)
+            AdmissionGateway(DOOR, world.router, world.deadlines, 1)
         world.run(60_000.0)
         for kind in ("check", "coaching"):
             tallies = [x.tally for x in crowds if x.name.endswith(kind)]
@@ -152,12 +152,12 @@
 def flood(thousands: int) -> float:
     """Resident MB after so many thousand fake clients, each of its own address, id and title."""
     world = World(settings(4, 50), [])
-    Gate(DOOR, world.router, world.deadlines, 1)
+    AdmissionGateway(DOOR, world.router, world.deadlines, 1)
     world.run(10.0)
     viewer: Any = Crowd("fake", "", 0)
     viewer.served = viewer.refused = viewer.failed = viewer.released = lambda *_: None
     for number in range(thousands * 1000):
-        ask = Ask(
+        ask = SetUpRequest(
             f"{number:016x}",
             "coaching",
             f"title-{number}",
@@ -166,10 +166,10 @@
             1,
             5000.0,
             length_ms=9e6,
-            viewer=f"fake-{number}",
-            peer=str(ip_address(0xC6120000 + number)),
+            viewer_id=f"fake-{number}",
+            peer_address=str(ip_address(0xC6120000 + number)),
         )
-        world.router.take(ask, viewer, world)
+        world.router.open_request(ask, viewer, world)
         if number % 10 == 0:
             world.run(10.0)
     gc.collect()
--- a/benchmarks/members_ways.py
+++ b/benchmarks/members_ways.py
@@ -19,7 +19,7 @@
 from benchmarks.tables import keep
 from cloverhinge.emulator.network import Network, Process, Way
 from cloverhinge.emulator.routers import World
-from cloverhinge.members.watch import rings
+from cloverhinge.members.watch import watch_relations
 
 PERIOD_MS = 400.0
 TICK_MS = 100.0
@@ -252,7 +252,7 @@
 
     def pair(self, number: int) -> tuple[frozenset[str], frozenset[str]]:
         names = tuple(f"{x:04d}" for x in self.model.numbers if x not in self.gone)
-        return rings(names, self.OBSERVERS).get(f"{number:04d}", (frozenset(), frozenset()))
+        return watch_relations(names, self.OBSERVERS).get(f"{number:04d}", (frozenset(), frozenset()))
 
     def tick(self) -> None:
         self.model.net.timer(self.process, PERIOD_MS, self.tick)
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -47,13 +47,13 @@
         self.load[new.server] = {}
         gone = api.ServerListing(old.server, old.cell, "z", "box", health=api.Health.GONE)
         leaving = api.ServerListing(old.server, old.cell, "z", "box", health=api.Health.DRAINING)
-        self.router.fleet(api.ListKind.DELTA, (leaving, new))
+        self.router.update_fleet(api.ListKind.DELTA, (leaving, new))
         self.deadlines.after(LEAVE_MS, lambda: self._gone(gone))
         self.deadlines.after(REPLACE_MS, self._replace)
 
     def _gone(self, listing: api.ServerListing) -> None:
         self.load.pop(listing.server, None)
-        self.router.fleet(api.ListKind.DELTA, (listing,))
+        self.router.update_fleet(api.ListKind.DELTA, (listing,))
 
     def set_up(self, attempt: Attempt) -> None:
         chance = self.random.random()
@@ -76,7 +76,7 @@
             self.router.attempt_ended(attempt, Outcome.RESET)
 
     def _ends(self, request: Request) -> None:
-        if request.state is State.STANDS and self.random.random() < CUT:
+        if request.state is State.ESTABLISHED and self.random.random() < CUT:
             self.router.cut(request)
         super()._ends(request)
 
@@ -106,25 +106,25 @@
     limits += fleet.racks.values()
     return {
         "core: requests": len(router.requests),
-        "core: by_name": len(router.by_name),
+        "core: by_name": len(router.by_session_id),
         "core: by_title": sum(map(len, router.by_title.values())),
         "core: titles": len(router.by_title),
-        "core: standing": sum(map(len, router.standing.values())),
+        "core: standing": sum(map(len, router.established.values())),
         "core: listings": len(router.listings),
         "core: deadlines": len(router.deadlines),
         "module: sessions": len(module.sessions),
         "module: tokens": len(module.tokens),
-        "module: asked": len(module.asked),
-        "module: recent requests": len(module.requests.moments),
-        "module: recent attempts": len(module.further.moments),
-        "module: odd titles": len(module.odd),
-        "module: logged": len(module.logged),
+        "module: asked": len(module.awaiting_probe),
+        "module: recent requests": len(module.requests.times_us),
+        "module: recent attempts": len(module.further_attempts.times_us),
+        "module: odd titles": len(module.suspect_titles),
+        "module: logged": len(module.last_logged_us),
         "module: servers": len(fleet.servers),
         "module: racks": len(fleet.racks),
         "module: by_cell": sum(map(len, fleet.by_cell.values())),
         "module: bookings kept": sum(len(limit.history) for limit in limits),
         "module: sessions by limit": sum(len(limit.sessions) for limit in limits),
-        "module: titles that erred": sum(len(server.erred) for server in fleet.servers.values()),
+        "module: titles that erred": sum(len(server.failed_titles) for server in fleet.servers.values()),
         "model": sum(map(len, site.load.values())),
     }
 
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -14,7 +14,7 @@
 
 from cloverhinge.core.clock import ManualClock
 from cloverhinge.core.deadlines import Deadlines
-from cloverhinge.core.model import Ask, Attempt, Cause, Presence, Request, State
+from cloverhinge.core.model import Attempt, Cause, Presence, Request, SetUpRequest, State
 from cloverhinge.core.router import Router
 from cloverhinge.decision import interface as api
 from cloverhinge.decision.interface import Outcome
@@ -84,7 +84,7 @@
         peer = self.who.peer if self.who.peers == 1 else f"198.18.{self.world.count % self.who.peers}.7"
         if not self.title:
             self.title = self.who.pick(self.world.random, self.asked_ms - self.world.start_ms)
-        ask = Ask(
+        ask = SetUpRequest(
             f"{self.world.count:016x}",
             self.class_name,
             self.title,
@@ -93,11 +93,11 @@
             1,
             limit,
             length_ms=self.length_ms * self.world.random.lognormvariate(0, 0.3),
-            viewer=self.name,
-            peer=peer,
-            ticket=self.ticket if self.who.carries else "",
+            viewer_id=self.name,
+            peer_address=peer,
+            reservation_token=self.ticket if self.who.carries else "",
         )
-        if self.world.router.take(ask, self, self.world) is None:
+        if self.world.router.open_request(ask, self, self.world) is None:
             self.refused(1000.0)
 
     def served(self, answer: bytes) -> None:
@@ -125,7 +125,7 @@
         pass
 
     def presence(self) -> Presence:
-        return Presence.THERE
+        return Presence.PRESENT
 
     def left(self, may_have_run: bool) -> None: ...
 
@@ -175,19 +175,19 @@
         self.clock = ManualClock(start_ms)
         self.start_ms = start_ms
         self.deadlines = Deadlines(self.clock)
-        self.router = Router(told, seed, self.clock, self.deadlines, most_requests=65536)
+        self.router = Router(told, seed, self.clock, self.deadlines, max_requests=65536)
         self.random = random.Random(seed)
         self.crowds, self.count, self.told = crowds, 0, told
         self.load: dict[int, dict[int, Request]] = {}
         self.listings = [api.ServerListing(10 + n, n, "z", "box") for n in range(boxes)]
-        self.router.fleet(api.ListKind.FULL, self.listings)
+        self.router.update_fleet(api.ListKind.FULL, self.listings)
 
     def run(self, ms: float) -> None:
         """On by so much; arrivals start with the first call."""
         until = self.clock.now() + ms
         for crowd in self.crowds:
             if not crowd.tally.came and crowd.per_s > 0:
-                self.deadlines.arm(self.start_ms + crowd.from_ms, partial(self._next, crowd))
+                self.deadlines.schedule(self.start_ms + crowd.from_ms, partial(self._next, crowd))
                 crowd.tally.came = 1
         if not self.load:
             self.load = {one.server: {} for one in self.listings}
@@ -214,7 +214,7 @@
         for server, sessions in self.load.items():
             first = next(iter(sessions.values()), None)
             if first is not None:
-                self.router.note(first, api.LinkNote(first.handle, server, self.link(sessions)))
+                self.router.session_event(first, api.LinkNote(first.handle, server, self.link(sessions)))
         self.deadlines.after(NOTES_MS, self._tell_loads)
 
     # Boxes
@@ -226,12 +226,12 @@
         request = attempt.request
         if self.router.may_write(attempt) and self.router.answered(attempt, b"made"):
             self.load[attempt.server][request.handle] = request
-            viewer: Any = request.viewer
+            viewer: Any = request.client
             self.deadlines.after(viewer.length_ms, lambda: self._ends(request))
 
     def _ends(self, request: Request) -> None:
-        if request.state is State.STANDS:
-            self.router.session_over(request, Outcome.SERVED)
+        if request.state is State.ESTABLISHED:
+            self.router.session_ended(request, Outcome.SERVED)
         for sessions in self.load.values():
             sessions.pop(request.handle, None)
 
--- a/cloverhinge/acme/renewal.py
+++ b/cloverhinge/acme/renewal.py
@@ -137,7 +137,7 @@
         first = self.live.context is None
         self.live.context, self.expires_ms = context, expires
         renew = max(expires - self.site.renew_before_s * 1000.0, begins + (expires - begins) * LIFE_SHARE)
-        self.deadlines.arm(max(renew, now + 1000.0), self._order)
+        self.deadlines.schedule(max(renew, now + 1000.0), self._order)
         self.log.info(
             "certificate for {names}: good for {days} days",
             names=", ".join(self.site.domains),
--- a/cloverhinge/admission/replicated_reservations.py
+++ b/cloverhinge/admission/replicated_reservations.py
@@ -8,49 +8,59 @@
 
 from collections.abc import Callable
 
-from cloverhinge.admission.fair_queue import WINDOW_MOST_MS
-from cloverhinge.admission.gateway import Gate
-from cloverhinge.admission.reservations import Promise
+from cloverhinge.admission.fair_queue import MAX_WINDOW_MS
+from cloverhinge.admission.gateway import AdmissionGateway
+from cloverhinge.admission.reservations import Reservation
 from cloverhinge.core.model import Request
 from cloverhinge.ownership.component import Part
 from cloverhinge.ownership.model import Verdict
 from cloverhinge.ownership.register import Phase, Work
 from cloverhinge.ownership.replicated_work import Kept
 
-LETTER = "d"
-SOON_MS = 250.0  # for the keepers to answer: a viewer waits at the door as long as that at the most
-HELD_MS = 500.0  # for the router that had it last to hand it over
+RECORD_PREFIX = "d"
+REPLICA_TIMEOUT_MS = (
+    250.0  # for the keepers to answer: a viewer waits at the door as long as that at the most
+)
+HAND_OVER_TIMEOUT_MS = 500.0  # for the router that had it last to hand it over
 
 
-class KeptPromises:
-    def __init__(self, part: Part, gate: Gate, quote_most_ms: float) -> None:
+class ReplicatedReservations:
+    def __init__(self, part: Part, gate: AdmissionGateway, max_retry_after_ms: float) -> None:
         self.part = part
         gate.claims = self
-        part.serve(LETTER, self, quote_most_ms + WINDOW_MOST_MS)
+        part.serve(RECORD_PREFIX, self, max_retry_after_ms + MAX_WINDOW_MS)
 
     # The gate's `Claims`
 
-    def claim(self, promise: Promise, call: Callable[[bool], None]) -> None:
+    def claim(self, promise: Reservation, call: Callable[[bool], None]) -> None:
         def answered(verdict: Verdict, work: Work | None) -> None:
-            mine = verdict in (Verdict.NEW, Verdict.TAKEN)
-            call(mine or verdict is Verdict.UNKEPT and self.part.site.serve)
+            mine = verdict in (Verdict.NEW, Verdict.TAKEN_OVER)
+            call(mine or verdict is Verdict.UNREPLICATED and self.part.site.serve)
 
         kept = Kept("", "", f"{promise.viewer:x}")
-        self.part.claim(self._id(promise), True, kept, SOON_MS, self.part.clock.now() + HELD_MS, answered)
-
-    def settle(self, promise: Promise, claimed: bool) -> None:
+        self.part.claim(
+            self._id(promise),
+            True,
+            kept,
+            REPLICA_TIMEOUT_MS,
+            self.part.clock.now() + HAND_OVER_TIMEOUT_MS,
+            answered,
+        )
+
+    def settle(self, promise: Reservation, claimed: bool) -> None:
         id = self._id(promise)
         if claimed:
             self.part.end(id)
         else:
             self.part.change(id, Phase.STANDS)
             self.part.deadlines.after(
-                max(0.0, promise.until_ms - self.part.clock.now()), lambda: self.part.end(id)
+                max(0.0, promise.expires_ms - self.part.clock.now()), lambda: self.part.end(id)
             )
 
     @staticmethod
-    def _id(promise: Promise) -> str:
-        return f"{LETTER}/{promise.serial:x}.{promise.viewer:x}"  # two routers may start in one millisecond
+    def _id(promise: Reservation) -> str:
+        # two routers may start in one millisecond
+        return f"{RECORD_PREFIX}/{promise.serial:x}.{promise.viewer:x}"
 
     # Custody's `Wire`
 
--- a/cloverhinge/cli.py
+++ b/cloverhinge/cli.py
@@ -64,7 +64,7 @@
         print(f"cloverhinge: {error}", file=sys.stderr)
         return 2
     if chosen["check"]:
-        boxes = {box.name for change in told.known for box, _ in change.rows}
+        boxes = {box.name for change in told.initial_updates for box, _ in change.rows}
         print(
             f"{told.name or 'unnamed'}: {len(told.settings.classes)} classes, {len(boxes)} boxes named, "
             f"listening on {told.listen[0]}:{told.listen[1]}"
--- a/cloverhinge/config.py
+++ b/cloverhinge/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cloverhinge.core.config_values import ConfigError, address
+from cloverhinge.core.config_values import ConfigError, parse_address
 from cloverhinge.decision import interface as api
 from cloverhinge.discovery.updates import ListUpdate, parse_update
 from cloverhinge.settings import parse_settings
@@ -23,12 +23,12 @@
     sockets: int
     changelog: tuple[str, int]
     seq: int
-    known: tuple[ListUpdate, ...]
+    initial_updates: tuple[ListUpdate, ...]
     settings: api.Settings
     connect_ms: float
     idle_ms: float
-    mgmt: tuple[str, int] | None = None  # where the staff call
-    listener: int | None = None  # descriptor of the clients' listening socket, where it is inherited
+    operator_address: tuple[str, int] | None = None  # where the staff call
+    listener_fd: int | None = None  # descriptor of the clients' listening socket, where it is inherited
 
 
 def read(path: str, environment: Mapping[str, str] | None = None) -> Config:
@@ -57,18 +57,18 @@
         raise ValueError(f"LB_LISTEN_FD: {inherited!r} is no descriptor")
     return Config(
         name=str(told.get("name") or ""),
-        listen=address(listen, lowest=0),
+        listen=parse_address(listen, min_port=0),
         seed=int(str(told.get("seed") or "0"), 16),
         memory_mb=int(limits.get("memory_mb", 192)),
         sockets=int(limits.get("sockets", 1024)),
-        changelog=address(told["changelog"]),
+        changelog=parse_address(told["changelog"]),
         seq=int(known.get("seq", 0)),
-        known=tuple(change for change in changes if change is not None),
+        initial_updates=tuple(change for change in changes if change is not None),
         settings=parse_settings(settings),
         connect_ms=float(rules.get("connectTimeoutUs") or 250_000) / 1000,
         idle_ms=float(rules.get("connIdleUs") or 30_000_000) / 1000,
-        mgmt=address(str(mgmt), lowest=0) if mgmt else None,
-        listener=int(inherited) if inherited else None,
+        operator_address=parse_address(str(mgmt), min_port=0) if mgmt else None,
+        listener_fd=int(inherited) if inherited else None,
     )
 
 
--- a/cloverhinge/core/deadlines.py
+++ b/cloverhinge/core/deadlines.py
@@ -9,7 +9,7 @@
 
 from cloverhinge.core.clock import Clock
 
-Key = tuple[float, int]
+DeadlineKey = tuple[float, int]
 
 
 class Timer(Protocol):
@@ -25,7 +25,7 @@
         """`call_later` takes seconds; without it, a test calls `run` itself."""
         self.clock = clock
         self._call_later = call_later
-        self._due: SortedDict[Key, Callable[[], None]] = SortedDict()
+        self._due: SortedDict[DeadlineKey, Callable[[], None]] = SortedDict()
         self._count = 0
         self._timer: Timer | None = None
         self._timer_at = 0.0
@@ -34,20 +34,20 @@
     def __len__(self) -> int:
         return len(self._due)
 
-    def arm(self, at_ms: float, call: Callable[[], None]) -> Key:
+    def schedule(self, at_ms: float, call: Callable[[], None]) -> DeadlineKey:
         self._count += 1
         key = (at_ms, self._count)
         self._due[key] = call
-        self._wind()
+        self._update_timer()
         return key
 
-    def after(self, ms: float, call: Callable[[], None]) -> Key:
-        return self.arm(self.clock.now() + ms, call)
+    def after(self, ms: float, call: Callable[[], None]) -> DeadlineKey:
+        return self.schedule(self.clock.now() + ms, call)
 
-    def cancel(self, key: Key | None) -> None:
+    def cancel(self, key: DeadlineKey | None) -> None:
         """Safe for one that has passed, or for None."""
         if key is not None and self._due.pop(key, None) is not None:
-            self._wind()
+            self._update_timer()
 
     def run(self) -> None:
         """Call everything that is due.  What a call arms anew waits for the next run."""
@@ -61,9 +61,9 @@
                     call()
         finally:
             self._running = False
-            self._wind()
+            self._update_timer()
 
-    def _wind(self) -> None:
+    def _update_timer(self) -> None:
         if self._call_later is None or self._running:
             return
         if not self._due:
--- a/cloverhinge/core/invariants.py
+++ b/cloverhinge/core/invariants.py
@@ -4,12 +4,12 @@
 
 from collections import Counter
 
-broken: Counter[str] = Counter()
+violations: Counter[str] = Counter()
 
 
-def holds(condition: bool, name: str) -> bool:
+def check_invariant(condition: bool, name: str) -> bool:
     """Tell whether a condition holds; callers take their safe way out where it does not."""
     if not condition:
-        broken[name] += 1
+        violations[name] += 1
     assert condition, name
     return condition
--- a/cloverhinge/core/model.py
+++ b/cloverhinge/core/model.py
@@ -6,15 +6,15 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from cloverhinge.core.deadlines import Key
+from cloverhinge.core.deadlines import DeadlineKey
 from cloverhinge.decision.interface import Outcome, ServerListing, ServiceClass
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SetUpRequest:
     """What a viewer wants, as any front reads it."""
 
-    name: str  # the session's id, as the wires carry it
+    session_id: str  # the session's id, as the wires carry it
     class_name: str
     title: str
     first_cell: int
@@ -23,25 +23,25 @@
     wait_ms: float  # how long the viewer waits for the answer
     body: bytes = b""  # its description, for the box alone
     length_ms: float = 0.0
-    viewer: str = ""
+    viewer_id: str = ""
     returning: bool = False
-    peer: str = ""  # the viewer's address
-    client: int = -1  # the door's number of the client that vouched for it; -1 = go by the address
-    ticket: str = ""  # of an earlier quote
-    grain_ms: float = 1.0  # the wire tells holds-off in steps of so much
-    record: str = ""  # under which custody keeps it; none: under its name
+    peer_address: str = ""  # the viewer's address
+    client_number: int = -1  # the door's number of the client that vouched for it; -1 = go by the address
+    reservation_token: str = ""  # of an earlier quote
+    retry_after_step_ms: float = 1.0  # the wire tells holds-off in steps of so much
+    record_id: str = ""  # under which custody keeps it; none: under its name
 
 
 class State(Enum):
     OPEN = "open"  # a final answer is owed
-    STANDS = "stands"
+    ESTABLISHED = "stands"
     OVER = "over"
 
 
 class Presence(Enum):
     """What is known of a client at the moment at which an attempt for it would leave."""
 
-    THERE = "there"
+    PRESENT = "there"
     UNREAD = "unread"  # it has sent something that has not been read, which may be a cancellation
     GONE = "gone"  # it has closed its connection
 
@@ -69,11 +69,11 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    ask: Ask
-    kind: ServiceClass
-    viewer: Viewer
-    boxes: Boxes
-    taken_ms: float
+    set_up: SetUpRequest
+    service_class: ServiceClass
+    client: ClientPort
+    servers: ServerPort
+    received_ms: float
     expires_ms: float
     tally: Tally  # its end is counted there
     handle: int = 0
@@ -84,7 +84,7 @@
     last_outcome: Outcome | None = None
     server: int | None = None  # where it stands
     rung: int | None = None  # None = the lowest of the class
-    guard: Key | None = None
+    deadline: DeadlineKey | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -95,9 +95,9 @@
     started_ms: float
     until_ms: float
     written: bool = False  # its first byte has been handed to the network
-    sending: bool = False  # its way is asking whether it may be written, and ends it itself
-    held_back_ms: float | None = None  # kept from the network since then, until its client has been read
-    deadline: Key | None = None
+    ended_by_sender: bool = False  # its way is asking whether it may be written, and ends it itself
+    held_since_ms: float | None = None  # kept from the network since then, until its client has been read
+    deadline: DeadlineKey | None = None
 
 
 @dataclass(slots=True)
@@ -127,23 +127,23 @@
     def failed(self) -> int:
         return sum(one.errors for one in self.tallies.values())
 
-    def told(self) -> dict[str, Any]:
+    def as_status(self) -> dict[str, Any]:
         """All of it by name, for those who look."""
         return asdict(self) | {"served": self.served, "refused": self.refused, "failed": self.failed}
 
-    def outcome(self, outcome: Outcome) -> None:
+    def count_outcome(self, outcome: Outcome) -> None:
         self.outcomes[outcome.value] = self.outcomes.get(outcome.value, 0) + 1
 
 
 @dataclass(slots=True)
-class LeftOut:
+class MaintenanceEntry:
     """A box left out by hand: since when, and as the list has it meanwhile, where it does."""
 
     since_us: int
     listing: ServerListing | None
 
 
-class Viewer(Protocol):
+class ClientPort(Protocol):
     """Towards whoever asked.  Exactly one of the first three is called, unless the viewer has left."""
 
     def presence(self) -> Presence:
@@ -159,7 +159,7 @@
     def moved(self) -> None: ...
 
 
-class Boxes(Protocol):
+class ServerPort(Protocol):
     """Towards the boxes, over one wire."""
 
     def set_up(self, attempt: Attempt) -> None:
@@ -170,7 +170,7 @@
     def set_rung(self, request: Request, rung: int) -> None: ...
 
 
-class Door(Protocol):
+class AdmissionPort(Protocol):
     """Stands before the core where the site wants one: who is let in, and what is quoted to others."""
 
     def arrive(self, request: Request) -> None:
@@ -179,30 +179,30 @@
     def refused(self, request: Request, hold_off_ms: float) -> tuple[float, str]:
         """The module refused it: the hold-off and the ticket to tell."""
 
-    def stands(self, request: Request) -> None: ...
-    def resized(self, request: Request) -> None: ...
-    def over(self, request: Request) -> None: ...
+    def established(self, request: Request) -> None: ...
+    def rung_changed(self, request: Request) -> None: ...
+    def ended(self, request: Request) -> None: ...
     def fleet_changed(self) -> None: ...
 
 
-class Custody(Protocol):
+class OwnershipPort(Protocol):
     """Sees to it that other routers know of the work in hand, where the site wants that."""
 
-    def intend(self, attempt: Attempt) -> None:
+    def prepare(self, attempt: Attempt) -> None:
         """Call `Router.send` once its intent is kept as it has to be, or `Router.unkept`."""
 
     def may_write(self, attempt: Attempt) -> bool:
         """Whether this router still has the work, asked right before the first byte."""
 
-    def certain(self, attempt: Attempt, answer: bytes) -> bool:
+    def may_establish(self, attempt: Attempt, answer: bytes) -> bool:
         """Whether it may stand here; otherwise `Router.answered` is called again once that is known."""
 
-    def stands(self, request: Request, answer: bytes) -> None:
+    def established(self, request: Request, answer: bytes) -> None:
         """Call its viewer's `served` once that is kept, or soon."""
 
-    def carried(self, request: Request) -> None: ...
-    def resized(self, request: Request) -> None: ...
-    def over(self, request: Request) -> None: ...
+    def adopted(self, request: Request) -> None: ...
+    def rung_changed(self, request: Request) -> None: ...
+    def ended(self, request: Request) -> None: ...
 
     def release(self, request: Request, cause: Cause) -> None:
         """Tell its box, once it is certain that the session is not another router's by now."""
--- a/cloverhinge/core/slots.py
+++ b/cloverhinge/core/slots.py
@@ -11,14 +11,14 @@
 INDEX_MASK = (1 << INDEX_BITS) - 1
 
 
-class Table(Generic[T]):
+class SlotTable(Generic[T]):
     """A handle holds a slot's number and its generation, which grows each time the slot is freed.
 
     Guards against late messages: the handle of something gone never finds what took its slot since.
     """
 
-    def __init__(self, most: int = 1 << INDEX_BITS) -> None:
-        self.most = min(most, 1 << INDEX_BITS)
+    def __init__(self, capacity: int = 1 << INDEX_BITS) -> None:
+        self.capacity = min(capacity, 1 << INDEX_BITS)
         self._items: list[T | None] = []
         self._generations: list[int] = []
         self._free: list[int] = []
@@ -31,11 +31,11 @@
 
     @property
     def full(self) -> bool:
-        return len(self) >= self.most
+        return len(self) >= self.capacity
 
     def put(self, item: T) -> int:
         if self.full:
-            raise OverflowError(f"all {self.most} slots are taken")
+            raise OverflowError(f"all {self.capacity} slots are taken")
         if self._free:
             index = self._free.pop()
             self._items[index] = item
--- a/cloverhinge/decision/capacity.py
+++ b/cloverhinge/decision/capacity.py
@@ -11,61 +11,77 @@
 
 from cloverhinge.decision import interface as api
 from cloverhinge.decision.logic import Controller
-from cloverhinge.decision.rungs import MARK, STEP_GAIN
-from cloverhinge.decision.state import Server, Session, held
+from cloverhinge.decision.rungs import ADMIT_LOAD, MIN_GAIN_RATIO
+from cloverhinge.decision.state import Server, Session, held_seats
 
 
-def room(module: Controller, now_us: int, class_name: str, first_cell: int, copies: int, title: str) -> int:
+def spare_capacity(
+    controller: Controller, now_us: int, class_name: str, first_cell: int, copies: int, title: str
+) -> int:
     """How many more of a class the holders of a title have room for, about; 0 where none has.
 
     Where the class has seats, as many as the title has left.
     """
-    kind = module.classes[class_name]
-    if now_us > module.now:
-        module.now = now_us
-        module.averages.clear()  # they were of the last event
+    kind = controller.classes[class_name]
+    if now_us > controller.now_us:
+        controller.now_us = now_us
+        controller.load_statistics_cache.clear()  # they were of the last event
     request = api.SessionRequested(
         -1, class_name, title, first_cell, copies, kind.floor, now_us + kind.deadline_us
     )
     session = Session(
-        request, kind, now_us, kind.floor, module.rates[class_name], module.gains[class_name], rung=kind.floor
+        request,
+        kind,
+        now_us,
+        kind.floor,
+        controller.rates[class_name],
+        controller.gains[class_name],
+        rung=kind.floor,
     )
-    seats = kind.seats - held(module.sessions, session) if kind.seats else math.inf
+    seats = kind.seats - held_seats(controller.sessions, session) if kind.seats else math.inf
     if seats <= 0:
         return 0
-    holders = module.fleet.holders(request)
-    session.cold_turns = {server.listing.server: True for server in holders}
-    able = [server for server in holders if module.usable(server, session)]
-    kb, mark = session.rates[kind.floor], module.mark(session, kind.floor)
-    fitting = sum(left(module, server, kb, mark) for server in able if module.fits(server, kb, mark))
+    holders = controller.fleet.holders(request)
+    session.cold_draws = {server.listing.server: True for server in holders}
+    able = [server for server in holders if controller.usable(server, session)]
+    kb, mark = session.rates[kind.floor], controller.admission_limit(session, kind.floor)
+    fitting = sum(
+        fitting_sessions(controller, server, kb, mark) for server in able if controller.fits(server, kb, mark)
+    )
     if fitting:
         return int(min(fitting, seats))
     return int(
-        any(module.fits(server, 0, math.inf) and makes_room(module, server, session) for server in able)
+        any(
+            controller.fits(server, 0, math.inf) and can_free_capacity(controller, server, session)
+            for server in able
+        )
     )
 
 
-def left(module: Controller, server: Server, kb: float, mark: float) -> int:
+def fitting_sessions(controller: Controller, server: Server, kb: float, load_limit: float) -> int:
     """Sessions of a rate that a server has room for up to a mark; one at least, as it fits."""
     link, uplink, places = server.link, server.uplink, server.places
     return max(
         1,
         int(
             min(
-                (mark - module.load_of(link)) * link.capacity * module.warmth(server) / kb,
-                (mark - module.load_of(uplink)) * uplink.capacity / kb,
-                (1 - module.load_of(places)) * places.capacity,
+                (load_limit - controller.load_of(link))
+                * link.capacity
+                * controller.warm_fraction(server)
+                / kb,
+                (load_limit - controller.load_of(uplink)) * uplink.capacity / kb,
+                (1 - controller.load_of(places)) * places.capacity,
             )
         ),
     )
 
 
-def makes_room(module: Controller, server: Server, session: Session) -> bool:
+def can_free_capacity(controller: Controller, server: Server, session: Session) -> bool:
     """Whether steps down of playing sessions that pay would let it in at its floor."""
-    floor, link, uplink = session.kind.floor, server.link, server.uplink
+    floor, link, uplink = session.service_class.floor, server.link, server.uplink
     kb = session.rates[floor]
     over = {
-        link: (module.load_of(link) - MARK) * link.capacity * module.warmth(server) + kb,
-        uplink: (module.load_of(uplink) - MARK) * uplink.capacity + kb,
+        link: (controller.load_of(link) - ADMIT_LOAD) * link.capacity * controller.warm_fraction(server) + kb,
+        uplink: (controller.load_of(uplink) - ADMIT_LOAD) * uplink.capacity + kb,
     }
-    return module.plan_steps(over, {}, session.gains[floor] / STEP_GAIN, False)
+    return controller.plan_steps_down(over, {}, session.gains[floor] / MIN_GAIN_RATIO, False)
--- a/cloverhinge/decision/interface.py
+++ b/cloverhinge/decision/interface.py
@@ -25,11 +25,11 @@
     ZONE = "zone"
     CELL = "cell"
 
-    def joins(self, one: ServerListing, other: ServerListing) -> bool:
+    def includes(self, first: ServerListing, second: ServerListing) -> bool:
         return (
             self is Group.ALL
-            or (self is Group.ZONE and one.zone == other.zone)
-            or (self is Group.CELL and one.cell == other.cell)
+            or (self is Group.ZONE and first.zone == second.zone)
+            or (self is Group.CELL and first.cell == second.cell)
         )
 
 
@@ -127,17 +127,17 @@
     budget_ratio: float = 0.0
     budget_span_us: int = 0  # 0 = further attempts are not rationed
 
-    def rates(self, kind: ServiceClass) -> list[float]:
+    def rates(self, service_class: ServiceClass) -> list[float]:
         """kB a second of each rung, as the class uses it."""
-        return [kb * kind.rate_scale for kb in self.ladder_kb]
+        return [kb * service_class.rate_scale for kb in self.ladder_kb]
 
-    def step_gains(self, kind: ServiceClass) -> list[float]:
+    def step_gains(self, service_class: ServiceClass) -> list[float]:
         """Worth of the step up to each rung for each kB of it; at the class's floor, of all of its rate."""
-        worth, kb = self.rung_worth, self.rates(kind)
+        worth, kb = self.rung_worth, self.rates(service_class)
         return [
-            kind.worth
-            * (worth[x] - (x > kind.floor) * worth[x - 1])
-            / max(kb[x] - (x > kind.floor) * kb[x - 1], 1e-9)
+            service_class.worth
+            * (worth[x] - (x > service_class.floor) * worth[x - 1])
+            / max(kb[x] - (x > service_class.floor) * kb[x - 1], 1e-9)
             for x in range(len(kb))
         ]
 
@@ -210,7 +210,7 @@
     health: Health = Health.READY
     weight: float = 1.0
     started_us: int = 0  # its most recent start; 0 = long ago
-    anew: bool = False  # put back by hand: what was known of it is of an earlier life
+    after_maintenance: bool = False  # put back by hand: what was known of it is of an earlier life
 
 
 @dataclass(frozen=True, slots=True)
@@ -271,7 +271,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RungInForce:
+class RungReported:
     session: int
     server: int
     rung: int
@@ -315,7 +315,7 @@
     | SessionStarted
     | AttemptEnded
     | DeliveredShare
-    | RungInForce
+    | RungReported
     | LinkNote
     | UplinkNote
     | ViewerLeft
--- a/cloverhinge/discovery/updates.py
+++ b/cloverhinge/discovery/updates.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cloverhinge.core.config_values import address
+from cloverhinge.core.config_values import parse_address
 from cloverhinge.decision import interface as api
 
 HEALTH = {"active": api.Health.READY, "leaving": api.Health.DRAINING, "left": api.Health.GONE}
@@ -37,7 +37,7 @@
 
 def parse_instance(row: dict[str, Any]) -> tuple[ServerAddress, api.ServerListing]:
     name = str(row["instanceId"])
-    host, port = address(str(row["hostPort"]))
+    host, port = parse_address(str(row["hostPort"]))
     number = server_number(name)
     weight = row.get("weight")
     listing = api.ServerListing(
--- a/cloverhinge/discovery/watch.py
+++ b/cloverhinge/discovery/watch.py
@@ -11,7 +11,7 @@
 from twisted.logger import Logger
 from twisted.python.failure import Failure
 
-from cloverhinge.core.deadlines import Deadlines, Key
+from cloverhinge.core.deadlines import DeadlineKey, Deadlines
 from cloverhinge.discovery.updates import ListUpdate, parse_update
 from cloverhinge.net.buffered import UNREAD_MS, BufferedReceiver
 
@@ -82,11 +82,11 @@
         self.current: _Try | None = None
         self.connector: Any = None
         self.asked_again: tuple[int, int] | None = None  # a gap that the log has been asked to fill: its ends
-        self.watch: Key | None = None
-        self.pause: Key | None = None  # before the next try
+        self.watch: DeadlineKey | None = None
+        self.pause: DeadlineKey | None = None  # before the next try
         self.backoff_ms = BACKOFF_MS[0]
         self.stopped = False
-        self.waiting: tuple[Key, Callable[[], None]] | None = None  # for the last event
+        self.waiting: tuple[DeadlineKey, Callable[[], None]] | None = None  # for the last event
 
     def when_caught_up(self, call: Callable[[], None], most_ms: float) -> None:
         """Once a heartbeat has shown that nothing later is known, or after that time without one."""
--- a/cloverhinge/emulator/ownership_world.py
+++ b/cloverhinge/emulator/ownership_world.py
@@ -14,10 +14,19 @@
 from cloverhinge.emulator.routers import Router, World
 from cloverhinge.members import core
 from cloverhinge.members.wire import State
-from cloverhinge.ownership.core import TICK_MS, Custody
-from cloverhinge.ownership.model import Action, Answer, Kept, Lost, Rules, Say, Took, Verdict
+from cloverhinge.ownership.core import TICK_MS, OwnershipCore
+from cloverhinge.ownership.model import (
+    Acquired,
+    Action,
+    Answer,
+    LogMessage,
+    OwnershipLost,
+    Replicated,
+    Rules,
+    Verdict,
+)
 from cloverhinge.ownership.model import Send as SendTo
-from cloverhinge.ownership.persistence import Persist, Recall
+from cloverhinge.ownership.persistence import Persist, ReplicaPersistence
 from cloverhinge.ownership.register import Phase
 from cloverhinge.ownership.wire import Member
 
@@ -49,7 +58,7 @@
     """A router with custody; `session` is what its front holds."""
 
     world: Keepers
-    custody: Custody
+    custody: OwnershipCore
 
     def start(self) -> None:
         super().start()
@@ -62,8 +71,8 @@
         recall = None
         if self.world.stores:
             self.disk = self.world.disks.setdefault(self.name, Disk(self.world.net.random))
-            recall = Recall.of(own, *self.disk.open(), self.disk.rows)
-        self.custody = Custody(own, rules, self.members.run, recall)
+            recall = ReplicaPersistence.from_folder(own, *self.disk.open(), self.disk.rows)
+        self.custody = OwnershipCore(own, rules, self.members.run, recall)
         self.world.net.timer(self.process, self.world.net.random.uniform(0.0, TICK_MS), self._look)
 
     def kill(self) -> None:
@@ -81,7 +90,7 @@
         def safe() -> None:
             if process.alive and disk.commit() is not None:  # the disk goes on while the process is paused
                 number, mark = rows.number, disk.mark
-                process.do(lambda: self.do(self.custody.durable(self.now, number, mark)))
+                process.do(lambda: self.do(self.custody.on_durable(self.now, number, mark)))
 
         self.world.net.at(disk.put(self.now, rows) - self.now, safe)
 
@@ -90,16 +99,16 @@
         alive = {
             Member(x.name, x.run, x.site): x.incarnation for x in records.values() if x.state is State.ALIVE
         }
-        if self.members.joined and (alive, self.members.lived_before) != self.seen:
-            self.seen = alive, self.members.lived_before
-            self.custody.view(alive, self.members.lived_before, {})
-        self.do(self.custody.due(self.now))
+        if self.members.joined and (alive, self.members.had_earlier_run) != self.seen:
+            self.seen = alive, self.members.had_earlier_run
+            self.custody.update_members(alive, self.members.had_earlier_run, {})
+        self.do(self.custody.tick(self.now))
         self.world.net.timer(self.process, TICK_MS, self._look)
 
-    def hear(self, carried: core.Carried) -> None:
+    def hear(self, carried: core.ComponentMessageReceived) -> None:
         record = self.members.table.records.get(carried.name)
         site = "" if record is None else record.site
-        self.do(self.custody.heard(self.now, Member(carried.name, carried.run, site), carried.body))
+        self.do(self.custody.receive(self.now, Member(carried.name, carried.run, site), carried.body))
 
     def fetch(self, id: str, paid: bool = True) -> Fetch:
         """A viewer comes here."""
@@ -125,37 +134,37 @@
         for action in actions:
             match action:
                 case SendTo(to, body):
-                    self.act(self.members.carry(self.now, to.name, to.run, "custody", body))
+                    self.act(self.members.send_component_message(self.now, to.name, to.run, "custody", body))
                 case Answer(number, verdict, _):
                     self._answer(self.asked.pop(number), verdict)
-                case Took(id, work, _):
+                case Acquired(id, work, _):
                     if work.phase is Phase.STANDS:
                         self.sessions[id] = "stands"
                     if work.phase is Phase.DOOMED:
-                        world.session(id).released.append(self.custody.who)
+                        world.session(id).released.append(self.custody.own_id)
                         world.session(id).stands = False
-                case Lost(id, _, over):
+                case OwnershipLost(id, _, over):
                     if self.sessions.pop(id, None) == "stands" and over:
-                        world.session(id).released.append(self.custody.who)
+                        world.session(id).released.append(self.custody.own_id)
                         world.session(id).stands = False
                     self._tell_all(id, "refused")
-                case Kept(id, Phase.STANDS):
+                case Replicated(id, Phase.STANDS):
                     self._tell_all(id, "200")
                 case Persist():
                     self._put(action)
-                case Say(text):
+                case LogMessage(text):
                     self.said.append(text)
 
     def _answer(self, fetch: Fetch, verdict: Verdict) -> None:
         match verdict:
             case Verdict.NEW:
                 if fetch.id in self.sessions:  # under way for an earlier fetch: it waits with that one
-                    self.world.waiting.setdefault((self.custody.who, fetch.id), []).append(fetch)
+                    self.world.waiting.setdefault((self.custody.own_id, fetch.id), []).append(fetch)
                 else:
                     self.sessions[fetch.id] = "open"
-                    self.world.waiting[self.custody.who, fetch.id] = [fetch]
+                    self.world.waiting[self.custody.own_id, fetch.id] = [fetch]
                     self.world.net.timer(self.process, CONNECT_MS, lambda: self._send(fetch.id))
-            case Verdict.TAKEN:
+            case Verdict.TAKEN_OVER:
                 self.world.tell(fetch, "200")
             case Verdict.FINAL:
                 self.world.tell(fetch, "failed")
@@ -170,7 +179,7 @@
             self._tell_all(id, "refused")
             return
         session = self.world.session(id)
-        session.sent.append((self.now, self.custody.who))
+        session.sent.append((self.now, self.custody.own_id))
         # The box takes it whatever becomes of the router, which may hear of it late.
         self.world.net.at(BOX_MS / 2, lambda: setattr(session, "stands", not session.released))
         self.world.net.timer(self.process, BOX_MS, lambda: self._stands(id))
@@ -186,7 +195,7 @@
         self.world.net.timer(self.process, KEPT_MS, lambda: self._tell_all(id, "200"))
 
     def _tell_all(self, id: str, answer: str) -> None:
-        for fetch in self.world.waiting.pop((self.custody.who, id), []):
+        for fetch in self.world.waiting.pop((self.custody.own_id, id), []):
             self.world.tell(fetch, answer)
 
 
@@ -220,13 +229,13 @@
     def rostered(self) -> bool:
         """All that run hold one roster of just them, and vote."""
         here = [x for x in self.keepers if x.running]
-        rosters = [x.custody.rosters for x in here]
-        runs = sorted(x.custody.who for x in here)
+        rosters = [x.custody.replica_sets for x in here]
+        runs = sorted(x.custody.own_id for x in here)
         return all(
-            x.roster is not None
+            x.current is not None
             and x.active
-            and [m.who for m in x.roster.members] == runs
-            and x.roster == rosters[0].roster
+            and [m.member_id for m in x.current.members] == runs
+            and x.current == rosters[0].current
             for x in rosters
         )
 
@@ -236,7 +245,8 @@
             if self.net.now - begun > most_ms:
                 raise AssertionError(
                     "\n".join(
-                        f"{x.name}: {x.custody.rosters.roster} {x.custody.rosters.active} {x.said[-3:]}"
+                        f"{x.name}: {x.custody.replica_sets.current} "
+                        f"{x.custody.replica_sets.active} {x.said[-3:]}"
                         for x in self.keepers
                         if x.running
                     )
--- a/cloverhinge/emulator/routers.py
+++ b/cloverhinge/emulator/routers.py
@@ -8,7 +8,7 @@
 
 from cloverhinge.emulator.network import Address, Network, Process
 from cloverhinge.members import core, wire
-from cloverhinge.members.watch import rings
+from cloverhinge.members.watch import watch_relations
 
 SILENT_MS = 1000.0  # a connection that nobody answers is given up after so long
 
@@ -19,7 +19,7 @@
 
     at_ms: float
     by: str
-    what: core.Changed
+    what: core.MemberChanged
 
 
 class Router:
@@ -30,9 +30,9 @@
     ) -> None:
         self.world, self.name, self.site, self.address, self.join = world, name, site, address, join
         self.process = Process(address)
-        self.members: core.Members
+        self.members: core.Membership
         self.away: list[float] = []
-        self.voided: list[core.Voided] = []
+        self.voided: list[core.IncarnationVoided] = []
         self.said: list[str] = []
 
     @property
@@ -43,18 +43,20 @@
         net = self.world.net
         self.process = net.processes[self.address] = Process(self.address)
         run = net.random.getrandbits(62)
-        self.members = core.Members(self.name, self.site, self.address, self.join, run, run, self.world.rules)
+        self.members = core.Membership(
+            self.name, self.site, self.address, self.join, run, run, self.world.rules
+        )
         self.act(self.members.start(net.now))
         net.timer(self.process, net.random.uniform(0.0, core.TICK_MS), self._tick)
 
     def _tick(self) -> None:
-        self.act(self.members.due(self.world.net.now))
+        self.act(self.members.tick(self.world.net.now))
         self.world.net.timer(self.process, core.TICK_MS, self._tick)
 
     def kill(self) -> None:
         self.process.alive = False
 
-    def hear(self, carried: core.Carried) -> None:
+    def hear(self, carried: core.ComponentMessageReceived) -> None:
         """For the parts that a world builds on membership."""
 
     def act(self, actions: list[core.Action], back: Address | None = None, through: bool = False) -> None:
@@ -62,46 +64,48 @@
         for action in actions:
             match action:
                 case core.Send():
-                    to = action.to or back
+                    to = action.address or back
                     assert to is not None
                     body = wire.encode(action.message)
-                    self.carry(to, body, through or wire.HEAD + len(body) > wire.DATAGRAM_MOST)
-                case core.Knock():
+                    self.carry(to, body, through or wire.HEADER_BYTES + len(body) > wire.MAX_DATAGRAM_BYTES)
+                case core.ConnectProbe():
                     self.knock(action)
-                case core.Away():
+                case core.ProcessPaused():
                     self.away.append(action.ms)
-                case core.Changed():
+                case core.MemberChanged():
                     self.world.seen.append(Seen(net.now, self.name, action))
-                case core.Voided():
+                case core.IncarnationVoided():
                     self.voided.append(action)
-                case core.Say():
+                case core.LogLine():
                     self.said.append(action.text)
-                case core.Carried():
+                case core.ComponentMessageReceived():
                     self.hear(action)
 
     def carry(self, to: Address, body: bytes, reliable: bool = False) -> None:
         self.world.net.send(
             self.address,
             to,
-            wire.HEAD + len(body),
+            wire.HEADER_BYTES + len(body),
             lambda: self.world.hear(to, body, self.address, reliable),
             reliable,
         )
 
-    def knock(self, knock: core.Knock) -> None:
+    def knock(self, knock: core.ConnectProbe) -> None:
         """A connection: refused where no process is, else asked; its end is told in any case."""
         net, sent, process = self.world.net, self.world.net.now, self.process
 
         def over(refused: bool) -> None:
-            process.do(lambda: self.act(self.members.knocked(net.now, knock.name, knock.run, sent, refused)))
+            process.do(
+                lambda: self.act(self.members.connect_ended(net.now, knock.name, knock.run, sent, refused))
+            )
 
-        cut = net.way(self.address, knock.to).cut or net.way(knock.to, self.address).cut
-        there = net.processes.get(knock.to)
+        cut = net.way(self.address, knock.address).cut or net.way(knock.address, self.address).cut
+        there = net.processes.get(knock.address)
         if not cut and (there is None or not there.alive):
             net.at(net.usual.delay_ms * 2, lambda: over(True))
             return
         if not cut:
-            self.carry(knock.to, wire.encode(knock.message), reliable=True)
+            self.carry(knock.address, wire.encode(knock.message), reliable=True)
         net.at(SILENT_MS, lambda: over(False))
 
 
@@ -130,29 +134,32 @@
 
     def start_known(self) -> None:
         """As after a long quiet time: all know all, and have just been heard."""
-        pairs = rings(tuple(sorted(x.name for x in self.routers)), self.rules.watch)
+        pairs = watch_relations(tuple(sorted(x.name for x in self.routers)), self.rules.watch)
         for router in self.routers:
             router.join = ()
             router.start()
-            router.members.own = replace(router.members.own, hears=tuple(sorted(pairs[router.name][0])))
-        records = [x.members.own for x in self.routers]
+            router.members.own_record = replace(
+                router.members.own_record, reachable=tuple(sorted(pairs[router.name][0]))
+            )
+        records = [x.members.own_record for x in self.routers]
         for router in self.routers:
             members = router.members
             router.act(
-                members.received(
-                    self.net.now, wire.News(sender="rig", run=1, to=members.run, number=1, news=records)
+                members.receive(
+                    self.net.now,
+                    wire.Update(sender="rig", run=1, to_run=members.run, number=1, records=records),
                 )
             )
-            members.table.put(members.own)
-            members.table.news.clear()
-            members._watch(self.net.now)
-            for watch in members.watches.values():
-                watch.heard(self.net.now)
-            router.act(members.due(self.net.now))
+            members.table.put(members.own_record)
+            members.table.pending_updates.clear()
+            members._update_monitors(self.net.now)
+            for watch in members.monitors.values():
+                watch.record_answer(self.net.now)
+            router.act(members.tick(self.net.now))
 
     def hear(self, to: Address, body: bytes, sender: Address, reliable: bool) -> None:
         router = self.by_address[to]
-        router.act(router.members.received(self.net.now, wire.decode(body), sender), sender, reliable)
+        router.act(router.members.receive(self.net.now, wire.decode(body), sender), sender, reliable)
 
     @property
     def by_address(self) -> dict[Address, Router]:
@@ -186,4 +193,4 @@
         return self.net.now - begun
 
     def told(self, what: str, since_ms: float = 0.0) -> list[Seen]:
-        return [x for x in self.seen if x.what.what == what and x.at_ms >= since_ms]
+        return [x for x in self.seen if x.what.change == what and x.at_ms >= since_ms]
--- a/cloverhinge/hls/front.py
+++ b/cloverhinge/hls/front.py
@@ -24,7 +24,7 @@
 from twisted.web.server import NOT_DONE_YET, Site
 from twisted.web.server import Request as HttpRequest
 
-from cloverhinge.core.deadlines import Deadlines, Key
+from cloverhinge.core.deadlines import DeadlineKey, Deadlines
 from cloverhinge.core.router import Router
 from cloverhinge.decision.interface import Effect
 from cloverhinge.hls import manifests
@@ -69,7 +69,7 @@
 class Watched(ProtocolWrapper):
     """Guards against players that say nothing, or a request byte by byte: no byte renews the time."""
 
-    due: Key | None = None
+    due: DeadlineKey | None = None
 
     def connectionMade(self) -> None:
         self._arm()
@@ -253,7 +253,7 @@
             try:
                 request = await self.plays.stand(play, lambda: connected(fetch))
                 server, base = request.server or 0, self.boxes.base(request.server or 0) or ""
-                url = f"{base}sessions/{request.ask.name}"
+                url = f"{base}sessions/{request.set_up.session_id}"
                 if play.fresh is not None:
                     play.manifest, play.fresh = manifests.parse(play.fresh, self.site.manifest_bytes), None
                     top = play.manifest
--- a/cloverhinge/hls/media_servers.py
+++ b/cloverhinge/hls/media_servers.py
@@ -28,7 +28,7 @@
 from twisted.web.iweb import IAgentEndpointFactory, IBodyProducer
 from zope.interface import implementer
 
-from cloverhinge.core.deadlines import Deadlines, Key
+from cloverhinge.core.deadlines import DeadlineKey, Deadlines
 from cloverhinge.core.model import Attempt, Cause, Request
 from cloverhinge.core.router import Router
 from cloverhinge.decision.interface import Outcome
@@ -196,7 +196,7 @@
             late.append(True)
             deferred.cancel()
 
-        key: Key = self.deadlines.after(ms, expire)
+        key: DeadlineKey = self.deadlines.after(ms, expire)
 
         def stop(result: Any) -> Any:
             self.deadlines.cancel(key)
@@ -215,18 +215,18 @@
             self.out[attempt] = work
 
     async def _set_up(self, attempt: Attempt) -> None:
-        request, ask = attempt.request, attempt.request.ask
+        request, ask = attempt.request, attempt.request.set_up
         base = self.base(attempt.server)
         try:
             if base is None:
                 raise NotSent
-            url = f"{base}sessions/{ask.name}"
+            url = f"{base}sessions/{ask.session_id}"
             wait_ms = max(1, round(attempt.until_ms - self.deadlines.clock.now()))
             told = {
                 "class": ask.class_name,
                 "title": ask.title,
                 "wait_ms": wait_ms,
-                "rung": request.kind.floor if request.rung is None else request.rung,
+                "rung": request.service_class.floor if request.rung is None else request.rung,
             }
             # A connection of its own, never one of the pool: one that the box has closed meanwhile would
             # leave open whether the set-up ran.
@@ -239,21 +239,21 @@
             manifest = manifests.parse(body, self.most)
             manifests.rewrite(manifest, url, lambda n: "", float("inf"))
             if not self.router.answered(attempt, body):
-                self.let_go(attempt.server, ask.name)
+                self.let_go(attempt.server, ask.session_id)
         except NotSent:
             self.router.attempt_ended(attempt, Outcome.MOOT)
         except (manifests.BadManifest, TooLong) as error:
             # It stands at the box, but nobody can play it.
             self.log.warn("box {box}: {error}", box=attempt.server, error=str(error) or "manifest too long")
             self.router.attempt_ended(attempt, Outcome.ERROR)
-            self.let_go(attempt.server, ask.name)
+            self.let_go(attempt.server, ask.session_id)
         except Exception as error:  # whatever became of the connection
             if attempt not in self.out:
                 return  # given up, which broke it off: `give_up` has told the box
             self.log.info("box {box}: set-up broke: {error}", box=attempt.server, error=repr(error)[:200])
             self.router.attempt_ended(attempt, Outcome.RESET if attempt.written else Outcome.CONNECT_FAILED)
             if attempt.written:
-                self.let_go(attempt.server, ask.name)
+                self.let_go(attempt.server, ask.session_id)
         finally:
             self.out.pop(attempt, None)
 
@@ -262,11 +262,11 @@
         if work is not None:
             work.cancel()
         if attempt.written:
-            self.let_go(attempt.server, attempt.request.ask.name)
+            self.let_go(attempt.server, attempt.request.set_up.session_id)
 
     def release(self, request: Request, cause: Cause) -> None:
         if request.server is not None:
-            self.let_go(request.server, request.ask.name)
+            self.let_go(request.server, request.set_up.session_id)
 
     def let_go(self, server: int, name: str) -> None:
         base = self.base(server)
@@ -293,7 +293,7 @@
     def set_rung(self, request: Request, rung: int) -> None:
         base = self.base(request.server or 0)
         if base is not None:
-            url = f"{base}sessions/{request.ask.name}"
+            url = f"{base}sessions/{request.set_up.session_id}"
             asked = self._ask(self.agent, "PATCH", url, {"rung": rung}, BODY_MOST)
             self._limited(asked, FETCH_MS).addErrback(
                 lambda failure: self.log.info("rung: {error}", error=repr(failure.value)[:200])
--- a/cloverhinge/hls/plays.py
+++ b/cloverhinge/hls/plays.py
@@ -13,10 +13,10 @@
 
 from twisted.internet.defer import Deferred
 
-from cloverhinge.core.deadlines import Deadlines, Key
-from cloverhinge.core.model import Ask, Boxes, Cause, Presence, Request, State
+from cloverhinge.core.deadlines import DeadlineKey, Deadlines
+from cloverhinge.core.model import Cause, Presence, Request, ServerPort, SetUpRequest, State
 from cloverhinge.core.router import Router
-from cloverhinge.core.slots import Table
+from cloverhinge.core.slots import SlotTable
 from cloverhinge.decision.interface import Effect, Outcome
 from cloverhinge.hls import manifests
 from cloverhinge.site import Title
@@ -65,7 +65,7 @@
     verdict: Final | None = None  # of a paid set-up that may have run: it stays
     over: bool = False
     waiters: list[Waiter] = field(default_factory=list)
-    expiry: Key | None = None
+    expiry: DeadlineKey | None = None
 
     def wake(self, error: Exception | None = None) -> None:
         waiters, self.waiters = self.waiters, []
@@ -87,7 +87,7 @@
     def presence(self) -> Presence:
         """There while one of the fetches that wait has its player; later ones join the set-up."""
         waits = not self.awaited or any(waiter.connected() for waiter in self.play.waiters)
-        return Presence.THERE if waits else Presence.GONE
+        return Presence.PRESENT if waits else Presence.GONE
 
     def left(self, may_have_run: bool) -> None:
         final = Final(502, "the set-up failed while nobody waited for it")
@@ -141,14 +141,14 @@
     def __init__(
         self,
         router: Router,
-        boxes: Boxes,
+        boxes: ServerPort,
         deadlines: Deadlines,
         idle_ms: float,
         new_name: Callable[[], str] = lambda: secrets.token_hex(8),
     ) -> None:
         self.router, self.boxes, self.deadlines, self.idle_ms = router, boxes, deadlines, idle_ms
         self.new_name = new_name
-        self.table: Table[Play] = Table(PLAYS_MOST)
+        self.table: SlotTable[Play] = SlotTable(PLAYS_MOST)
         self.custody: Custody | None = None
         self.by_key: dict[str, Play] = {}
         self.by_token: dict[str, Play] = {}
@@ -183,7 +183,7 @@
             self.touch(play)  # an answer is still owed
             return
         if play.request is not None:
-            self.router.leave(play.request)
+            self.router.viewer_left(play.request)
         self.forget(play)
 
     def forget(self, play: Play) -> None:
@@ -213,17 +213,17 @@
                 request, play.request, play.over = None, None, play.paid
                 if play.over:
                     raise Over
-            if request is not None and request.state is State.STANDS:
+            if request is not None and request.state is State.ESTABLISHED:
                 if self.router.sendable(request.server or 0):
                     return request
                 # The box drains.  A repeatable session is set up elsewhere; a paid one ends here.
-                self.router.leave(request)
+                self.router.viewer_left(request)
                 play.request, play.over = None, play.paid
                 continue
             if request is None and self.custody is not None:
                 await self.custody.claim(play)
                 request = play.request
-                if request is not None and request.state is State.STANDS:
+                if request is not None and request.state is State.ESTABLISHED:
                     continue  # taken over
             if request is None:
                 self._start(play)
@@ -232,10 +232,10 @@
                     raise Final(503, "too many fetches wait for this set-up", BUSY_MS)
                 waiter = Waiter(connected)
                 play.waiters.append(waiter)
-                if isinstance(play.request.viewer, PlayViewer):
-                    play.request.viewer.awaited = True
+                if isinstance(play.request.client, PlayViewer):
+                    play.request.client.awaited = True
                 await waiter.done
-        if play.request is not None and play.request.state is State.STANDS and not play.over:
+        if play.request is not None and play.request.state is State.ESTABLISHED and not play.over:
             return play.request
         raise Final(503, "the session was lost while it was set up", BUSY_MS)
 
@@ -243,7 +243,7 @@
         title, kind = play.title, self.router.classes[play.class_name]
         viewer = PlayViewer(self, play)
         play.fresh = None
-        ask = Ask(
+        ask = SetUpRequest(
             self.new_name(),
             play.class_name,
             play.title_name,
@@ -252,14 +252,14 @@
             title.ceiling,
             kind.deadline_us / 1000.0,
             length_ms=title.length_ms,
-            viewer=play.key,
-            peer=play.peer,
-            client=play.client,
-            ticket=play.ticket,
-            grain_ms=BUSY_MS,
-            record=f"h/{play.token}" if self.custody is not None else "",
+            viewer_id=play.key,
+            peer_address=play.peer,
+            client_number=play.client,
+            reservation_token=play.ticket,
+            retry_after_step_ms=BUSY_MS,
+            record_id=f"h/{play.token}" if self.custody is not None else "",
         )
-        request = self.router.take(ask, viewer, self.boxes)
+        request = self.router.open_request(ask, viewer, self.boxes)
         if request is None:
             raise Final(503, "too many requests", BUSY_MS)
         if viewer.final is not None:
--- a/cloverhinge/hls/replicated_plays.py
+++ b/cloverhinge/hls/replicated_plays.py
@@ -40,8 +40,8 @@
 
     async def claim(self, play: Play) -> None:
         part, id = self.part, f"{LETTER}/{play.token}"
-        held = part.core.held.get(id)
-        if held is not None and not held.to and held.work.phase is Phase.INTENT:
+        held = part.core.owned.get(id)
+        if held is not None and not held.hand_over_to and held.work.phase is Phase.INTENT:
             return
         if part.core.leaving:
             raise Final(503, "this router ends, another one serves", BUSY_MS)
@@ -73,9 +73,9 @@
                 raise Over
             play.verdict = Final(502, "the set-up failed")
             raise play.verdict
-        if verdict is Verdict.HELD:
+        if verdict is Verdict.OWNED_ELSEWHERE:
             raise Final(503, "another router has this play", BUSY_MS)
-        if verdict is Verdict.UNKEPT:
+        if verdict is Verdict.UNREPLICATED:
             if play.paid and not part.site.serve:
                 raise Final(503, "it can't be kept by other routers now", BUSY_MS)
             part.note(part.unkept, id)
@@ -90,7 +90,7 @@
             self.part.clock.now() + FIND_MS,
             lambda verdict, work: answer.callback(verdict),
         )
-        if await answer in (Verdict.HELD, Verdict.UNKEPT):
+        if await answer in (Verdict.OWNED_ELSEWHERE, Verdict.UNREPLICATED):
             raise Final(503, "another router has this session", BUSY_MS)
 
     def forgot(self, play: Play) -> None:
--- a/cloverhinge/members/core.py
+++ b/cloverhinge/members/core.py
@@ -14,46 +14,50 @@
 import msgspec
 
 from cloverhinge.members import wire
-from cloverhinge.members.table import Table, View
-from cloverhinge.members.watch import Watch, reached, rings
+from cloverhinge.members.table import MemberTable, View
+from cloverhinge.members.watch import PeerMonitor, reachable_from, watch_relations
 from cloverhinge.members.wire import (
     Ack,
-    Ask,
-    Carry,
-    Hello,
+    ComponentMessage,
+    DiscoverReply,
+    DiscoverRequest,
     Message,
-    News,
     Ping,
     Record,
+    ReplayWindow,
     State,
-    Stray,
-    Welcome,
-    Window,
+    SyncRequest,
+    Update,
+    WrongRun,
 )
 
 TICK_MS = 50.0  # pace of looking: an eighth of the time between questions
 SUSPECT_MS = 100.0  # unreached for so long: news that crossed have met by then
-AWAY_MS = 300.0  # a tick so late was no jitter of the machine: this process slept
-AWAY_TOLD_MS = 1000.0  # pauses that the log tells; shorter ones are counted
-HELLO_MS = 500.0  # between questions to addresses that are not members now
-JOIN_MS = 1000.0  # a starter that nobody answered for so long begins alone
-KNOCK_AFTER = 1.5  # times the pace of questions: then a connection is tried
-KNOCK_MS, KNOCK_AGAIN_MS = 500.0, 120.0  # between connections tried; the second after a refusal
-ASK_MS = 1000.0  # between comparisons of a slice with a member drawn by lot
-SLICE = 32  # names in it: with their numbers some 800 bytes
-NEWS_BYTES = 900  # of news in a datagram; the rest is room for its head
-FAN = 3  # members that hear of urgent news at each tick
-TIMES = 2  # news are told so often, times the logarithm of the members' number: e^-10 of 16 miss one
-PER_MEMBER_MS = 25.0  # the pace of publishing is slower by this for each member: 40 facts a second in all
-PUBLISH_MS = 1000.0  # at least so long between two publications of facts
-WHOLE_MS = 1000.0  # between whole states to one member
-WINDOWS = 4096  # runs whose numbers are remembered: four lives of each of 1,024 members
-REPLIES_S = 200.0  # answers a second to those who are not known: they may be forged or replayed
-PROVEN_MS = 3000.0  # for so long an answer lets its sender's word on others count
-PROVEN_MOST = 256  # runs, and welcomes sent, that are remembered for that
-HELLOS_MOST = 128  # questions out to strangers: two rounds to the most addresses that may be named
-TWINS = 3  # times that one other run takes this name back before it counts as living
-SHUT_MS = 5000.0  # a router whose name is taken asks again after so long
+MIN_PAUSE_MS = 300.0  # a tick so late was no jitter of the machine: this process slept
+MIN_LOGGED_PAUSE_MS = 1000.0  # pauses that the log tells; shorter ones are counted
+DISCOVER_INTERVAL_MS = 500.0  # between questions to addresses that are not members now
+JOIN_TIMEOUT_MS = 1000.0  # a starter that nobody answered for so long begins alone
+CONNECT_AFTER_PROBES = 1.5  # times the pace of questions: then a connection is tried
+CONNECT_INTERVAL_MS, CONNECT_RETRY_MS = 500.0, 120.0  # between connections tried; the second after a refusal
+SYNC_INTERVAL_MS = 1000.0  # between comparisons of a slice with a member drawn by lot
+SYNC_SLICE_NAMES = 32  # names in it: with their numbers some 800 bytes
+MAX_UPDATE_BYTES = 900  # of news in a datagram; the rest is room for its head
+GOSSIP_FANOUT = 3  # members that hear of urgent news at each tick
+REPEATS_PER_LOG2 = (
+    2  # news are told so often, times the logarithm of the members' number: e^-10 of 16 miss one
+)
+PUBLISH_MS_PER_MEMBER = (
+    25.0  # the pace of publishing is slower by this for each member: 40 facts a second in all
+)
+MIN_PUBLISH_INTERVAL_MS = 1000.0  # at least so long between two publications of facts
+FULL_SYNC_INTERVAL_MS = 1000.0  # between whole states to one member
+MAX_REPLAY_WINDOWS = 4096  # runs whose numbers are remembered: four lives of each of 1,024 members
+MAX_REPLIES_PER_S = 200.0  # answers a second to those who are not known: they may be forged or replayed
+PROOF_VALID_MS = 3000.0  # for so long an answer lets its sender's word on others count
+MAX_PROVEN_RUNS = 256  # runs, and welcomes sent, that are remembered for that
+MAX_PENDING_DISCOVERS = 128  # questions out to strangers: two rounds to the most addresses that may be named
+MAX_NAME_RECLAIMS = 3  # times that one other run takes this name back before it counts as living
+NAME_CONFLICT_RETRY_MS = 5000.0  # a router whose name is taken asks again after so long
 
 Address = tuple[str, int]
 
@@ -72,40 +76,40 @@
 class Send:
     """To an address, or (`back`) to where the message that is being handled came from."""
 
-    to: Address | None
+    address: Address | None
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Knock:
+class ConnectProbe:
     """Try a connection, and ask over it; `knocked` is to be told what came of it."""
 
     name: str
     run: int
-    to: Address
+    address: Address
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Away:
+class ProcessPaused:
     """This process slept for `ms`: what it believed of others and of itself may be over."""
 
     ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class MemberChanged:
     """A member came, went, came again or is under suspicion; `view` is what holds now."""
 
     name: str
-    what: str  # joined, returned, restarted, suspect, heard, dead, left
+    change: str  # joined, returned, restarted, suspect, heard, dead, left
     reason: str
     incarnation: int
     view: View
 
 
 @dataclass(frozen=True, slots=True)
-class Voided:
+class IncarnationVoided:
     """Others held this router for dead: it goes on as a new incarnation, and what it owned is void."""
 
     incarnation: int
@@ -113,22 +117,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogLine:
     text: str
     error: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Carried:
+class ComponentMessageReceived:
     """One run of a member's said this to a part that is built on membership."""
 
     name: str
     run: int
-    part: str
+    component: str
     body: bytes
 
 
-Action = Send | Knock | Away | Changed | Voided | Say | Carried
+Action = (
+    Send
+    | ConnectProbe
+    | ProcessPaused
+    | MemberChanged
+    | IncarnationVoided
+    | LogLine
+    | ComponentMessageReceived
+)
 
 
 @dataclass(slots=True)
@@ -146,25 +158,25 @@
 
 
 @dataclass(slots=True)
-class Known:
+class MemberInfo:
     """What is noted of a member beside its record."""
 
     since_ms: float
-    lost_ms: float | None = None  # since when it has been reached by nobody from here
+    unreachable_since_ms: float | None = None  # since when it has been reached by nobody from here
     suspect: bool = False
-    accused: Record | None = None  # said to be dead by somebody, while it is reached from here
-    accused_ms: float = 0.0
-    whole_ms: float = -1e12  # when it was last asked for everything
-    differs_ms: float | None = None  # since when its view has been another one
+    death_claim: Record | None = None  # said to be dead by somebody, while it is reached from here
+    death_claim_sent_ms: float = 0.0
+    full_sync_ms: float = -1e12  # when it was last asked for everything
+    differs_since_ms: float | None = None  # since when its view has been another one
 
 
-def trim(table: OrderedDict[Any, Any], most: int) -> None:
+def evict_oldest(table: OrderedDict[Any, Any], max_entries: int) -> None:
     """The oldest entries give way."""
-    while len(table) > most:
+    while len(table) > max_entries:
         table.popitem(last=False)
 
 
-class Members:
+class Membership:
     """One router's membership.  `run` tells its starts apart, `seed` spreads its timers."""
 
     def __init__(
@@ -179,43 +191,51 @@
     ) -> None:
         self.name, self.site, self.address, self.run = name, site, address, run
         self.rules = rules or Rules()
-        self.join = tuple(x for x in join if x != address)
+        self.join_addresses = tuple(x for x in join if x != address)
         self.random = random.Random(seed)
-        self.table = Table()
-        self.known: dict[str, Known] = {}
-        self.watches: dict[str, Watch] = {}
-        self.windows: OrderedDict[int, Window] = OrderedDict()
+        self.table = MemberTable()
+        self.member_info: dict[str, MemberInfo] = {}
+        self.monitors: dict[str, PeerMonitor] = {}
+        self.replay_windows: OrderedDict[int, ReplayWindow] = OrderedDict()
         self.counters = Counters()
-        self.own = Record(name, 1, run, State.ALIVE, 0, *address, site)
+        self.own_record = Record(name, 1, run, State.ALIVE, 0, *address, site)
         self.joined = False
         self.left = False
-        self.lived_before = False  # others remember an earlier run of this name
-        self.shut_until_ms = -1e12  # its name is taken until then
-        self.asking_until_ms = -1e12  # after a pause: nobody is accused before
-        self.heard_since_pause = True
-        self._out: list[Action] = []
+        self.had_earlier_run = False  # others remember an earlier run of this name
+        self.name_conflict_until_ms = -1e12  # its name is taken until then
+        self.resync_until_ms = -1e12  # after a pause: nobody is accused before
+        self.received_since_pause = True
+        self._actions: list[Action] = []
         self._number = 0
-        self._started_ms = self._last_ms = self._hello_ms = self._ask_ms = self._published_ms = 0.0
-        self._hellos: OrderedDict[int, Address] = OrderedDict()  # by nonce, whom it asked
+        self._started_ms = self._last_ms = self._next_discover_ms = self._next_sync_ms = (
+            self._published_ms
+        ) = 0.0
+        self._pending_discovers: OrderedDict[int, Address] = OrderedDict()  # by nonce, whom it asked
         self._next_slice = ""
-        self._facts: bytes | None = None  # waiting for its turn
-        self._strangers = 0.0
-        self._strangers_ms = 0.0
-        self._reached: set[str] = {name}
-        self._dirty = True
-        self._rewatch = False
-        self._urgent = False
-        self._least = 1  # the incarnation to begin with
-        self._twin_at: Address | None = None
-        self._taken_by, self._taken_back = 0, 0  # a run that claims this name again and again
-        self._twin_told = 0  # the run of that name that the log has told of
-        self._starting: set[Address] = set()  # of the addresses to join: those who are only starting, too
-        self._lost: set[str] = set()  # members that are not reached, or are under suspicion
-        self._accused: set[str] = set()
-        self._farewell: list[str] = []  # who is told, and told again, that this router leaves
-        self._proven: OrderedDict[int, float] = OrderedDict()  # runs that answered, until when it counts
-        self._welcomes: OrderedDict[int, int] = OrderedDict()  # numbers of those sent, and to which run
-        self._twin_until_ms = 0.0
+        self._pending_facts: bytes | None = None  # waiting for its turn
+        self._reply_budget_used = 0.0
+        self._reply_budget_ms = 0.0
+        self._reachable: set[str] = {name}
+        self._reachability_dirty = True
+        self._monitors_dirty = False
+        self._gossip_due = False
+        self._first_incarnation = 1  # the incarnation to begin with
+        self._duplicate_address: Address | None = None
+        self._reclaiming_run, self._reclaims = 0, 0  # a run that claims this name again and again
+        self._logged_duplicate_run = 0  # the run of that name that the log has told of
+        self._starting_addresses: set[Address] = (
+            set()
+        )  # of the addresses to join: those who are only starting, too
+        self._unreachable: set[str] = set()  # members that are not reached, or are under suspicion
+        self._disputed: set[str] = set()
+        self._leave_targets: list[str] = []  # who is told, and told again, that this router leaves
+        self._proven_until_ms: OrderedDict[int, float] = (
+            OrderedDict()
+        )  # runs that answered, until when it counts
+        self._sent_discover_replies: OrderedDict[int, int] = (
+            OrderedDict()
+        )  # numbers of those sent, and to which run
+        self._duplicate_until_ms = 0.0
 
     # What may be asked at any time
 
@@ -225,379 +245,430 @@
     @property
     def trusted(self) -> bool:
         """Whether this process has heard from others since it last slept (alone: that it is awake)."""
-        return self.heard_since_pause and self._last_ms >= self.asking_until_ms
+        return self.received_since_pause and self._last_ms >= self.resync_until_ms
 
     def state(self, name: str) -> str:
         record = self.table.records[name]
         if record.state is not State.ALIVE:
             return record.state.name.lower()
-        return "suspect" if self.known[name].suspect else "alive"
+        return "suspect" if self.member_info[name].suspect else "alive"
 
-    def reach(self, name: str) -> tuple[list[str], list[str]]:
+    def split_observers(self, name: str) -> tuple[list[str], list[str]]:
         """Who of those that watch it hear it, and who of them do not (as far as they can be reached)."""
-        told = [x for x in sorted(self._pair(name)[1]) if x in self._reached]
-        heard = [x for x in told if name in self.table.records[x].hears]
+        told = [x for x in sorted(self._watch_relation(name)[1]) if x in self._reachable]
+        heard = [x for x in told if name in self.table.records[x].reachable]
         return heard, [x for x in told if x not in heard]
 
     # Events
 
     def start(self, now: float) -> list[Action]:
-        self._started_ms = self._last_ms = self._strangers_ms = self._published_ms = now
-        self._hello_ms = now + self.random.uniform(0.0, TICK_MS)
-        self._ask_ms = now + self.random.uniform(0.5, 1.5) * ASK_MS
-        if not self.join:
-            self._enter(now)
-        return self._done()
-
-    def awake(self, now: float) -> list[Action]:
+        self._started_ms = self._last_ms = self._reply_budget_ms = self._published_ms = now
+        self._next_discover_ms = now + self.random.uniform(0.0, TICK_MS)
+        self._next_sync_ms = now + self.random.uniform(0.5, 1.5) * SYNC_INTERVAL_MS
+        if not self.join_addresses:
+            self._become_member(now)
+        return self._take_actions()
+
+    def check_pause(self, now: float) -> list[Action]:
         """To be asked before anything that rests on membership is done: it tells of a pause at once."""
-        self._wake(now)
-        return self._done()
+        self._detect_pause(now)
+        return self._take_actions()
 
     def publish(self, now: float, facts: bytes) -> list[Action]:
         """At most FACTS_MOST bytes, told at the pace that the number of members allows; the newest counts."""
-        if len(facts) > wire.FACTS_MOST:
-            raise ValueError(f"facts of {len(facts)} bytes, {wire.FACTS_MOST} at most")
-        self._wake(now)
-        self._facts = facts if facts != self.own.facts else None
-        return self._done()
-
-    def carry(self, now: float, name: str, run: int, part: str, body: bytes) -> list[Action]:
+        if len(facts) > wire.MAX_FACTS_BYTES:
+            raise ValueError(f"facts of {len(facts)} bytes, {wire.MAX_FACTS_BYTES} at most")
+        self._detect_pause(now)
+        self._pending_facts = facts if facts != self.own_record.facts else None
+        return self._take_actions()
+
+    def send_component_message(
+        self, now: float, name: str, run: int, component: str, body: bytes
+    ) -> list[Action]:
         """Sends what a part says to that run of a member's; nothing where it is not known."""
-        self._wake(now)
+        self._detect_pause(now)
         record = self.table.records.get(name)
         if record is not None and record.run == run:
-            self._send(record, Carry(part=part, body=body))
-        return self._done()
+            self._send(record, ComponentMessage(component=component, body=body))
+        return self._take_actions()
 
     def leave(self, now: float) -> list[Action]:
         """A planned end: the others are told now, and once more at each tick while it is called `due`."""
-        self._wake(now)
+        self._detect_pause(now)
         if self.joined and not self.left:
-            self._farewell = self._neighbours()
-            self._set_own(now, state=State.LEFT, hears=(), refused=(), by="told to end")
-            for name in self._farewell:
-                self._send(self.table.records[name], News(news=[self.own]))
+            self._leave_targets = self._neighbours()
+            self._set_own(now, state=State.LEFT, reachable=(), refused=(), state_reason="told to end")
+            for name in self._leave_targets:
+                self._send(self.table.records[name], Update(records=[self.own_record]))
         self.left = True
-        return self._done()
+        return self._take_actions()
 
-    def due(self, now: float) -> list[Action]:
-        self._wake(now)
+    def tick(self, now: float) -> list[Action]:
+        self._detect_pause(now)
         if self.left:
-            for name in self._some(self._farewell):
-                self._send(self.table.records[name], News(news=[self.own]))
-            return self._done()
+            for name in self._sample_fanout(self._leave_targets):
+                self._send(self.table.records[name], Update(records=[self.own_record]))
+            return self._take_actions()
         if not self.joined:
             self._try_to_join(now)
         else:
-            if self._rewatch:
-                self._watch(now)
+            if self._monitors_dirty:
+                self._update_monitors(now)
             self._probe(now)
-            self._look(now)
-            self._judge(now)
-            self._compare(now)
+            self._update_reachable(now)
+            self._evaluate_members(now)
+            self._sync_slice(now)
             self._publish_facts(now)
-        if now >= self._hello_ms:
-            self._hello_ms = now + HELLO_MS * self.random.uniform(0.8, 1.2)
-            self._say_hello()
-        if self._urgent:
-            self._urgent = False
-            self._spread()
-        return self._done()
-
-    def received(self, now: float, message: wire.Told, came: Address | None = None) -> list[Action]:
+        if now >= self._next_discover_ms:
+            self._next_discover_ms = now + DISCOVER_INTERVAL_MS * self.random.uniform(0.8, 1.2)
+            self._discover()
+        if self._gossip_due:
+            self._gossip_due = False
+            self._gossip()
+        return self._take_actions()
+
+    def receive(self, now: float, message: wire.AnyMessage, source: Address | None = None) -> list[Action]:
         """A message that was signed as it has to be; `came` is where it came from, for the log."""
-        self._wake(now)
+        self._detect_pause(now)
         self.counters.received += 1
-        if message.run == self.run or self.left and not isinstance(message, Carry):
-            return self._done()
-        if message.to != self.run:
-            self._stranger(now, message)
-            return self._done()
-        if not self._fresh(message):
+        if message.run == self.run or self.left and not isinstance(message, ComponentMessage):
+            return self._take_actions()
+        if message.to_run != self.run:
+            self._handle_other_run(now, message)
+            return self._take_actions()
+        if not self._is_fresh(message):
             self.counters.replayed += 1
-            return self._done()
-        self.heard_since_pause = True
+            return self._take_actions()
+        self.received_since_pause = True
         if message.sender == self.name:
-            if not self._outranks(message):
-                self._twin(now, message.run, came)
-            return self._done()
+            if not self._name_conflict_ignored(message):
+                self._resolve_name_conflict(now, message.run, source)
+            return self._take_actions()
         match message:
-            case Carry():
-                self._out.append(Carried(message.sender, message.run, message.part, message.body))
+            case ComponentMessage():
+                self._actions.append(
+                    ComponentMessageReceived(message.sender, message.run, message.component, message.body)
+                )
             case Ping():
                 if self.joined:
-                    self._reply(message, Ack(of=message.number, digest=self.table.digest, news=self._news()))
+                    self._reply(
+                        message,
+                        Ack(
+                            ping_number=message.number, digest=self.table.digest, records=self._next_updates()
+                        ),
+                    )
                     self._merge(now, message)
-                    self._same(now, message)
+                    self._compare_digest(now, message)
             case Ack():
-                self._heard(message.sender, message.run, message.of)
+                self._record_answer(message.sender, message.run, message.ping_number)
                 self._merge(now, message)
-                self._same(now, message)
-            case Welcome():
-                self._welcome(now, message)
-            case Ask():
-                if self._welcomes.get(message.of) == message.run:
-                    self._prove(now, message.run)
+                self._compare_digest(now, message)
+            case DiscoverReply():
+                self._handle_discover_reply(now, message)
+            case SyncRequest():
+                if self._sent_discover_replies.get(message.reply_number) == message.run:
+                    self._mark_proven(now, message.run)
                 self._merge(now, message)
-                self._answer(message)
-            case News():
+                self._answer_sync(message)
+            case Update():
                 self._merge(now, message)
                 if message.wanted:
-                    self._records_to(
+                    self._reply_with_records(
                         message, [self.table.records[x] for x in message.wanted if x in self.table.records]
                     )
-            case Stray():
-                self._stray(now, message)
-        return self._done()
+            case WrongRun():
+                self._handle_wrong_run(now, message)
+        return self._take_actions()
 
-    def knocked(self, now: float, name: str, run: int, sent_ms: float, refused: bool) -> list[Action]:
+    def connect_ended(self, now: float, name: str, run: int, sent_ms: float, refused: bool) -> list[Action]:
         """What became of a connection: refused (nobody listens), or silence.  Answers are `received`."""
-        self._wake(now)
-        watch, record = self.watches.get(name), self.table.records.get(name)
+        self._detect_pause(now)
+        watch, record = self.monitors.get(name), self.table.records.get(name)
         if watch is not None and record is not None and record.run == run:
-            watch.knocking = False
-            if refused and (watch.heard_ms is None or watch.heard_ms < sent_ms) and not self._asking(now):
-                watch.refused(now)
-                watch.next_knock_ms = now + KNOCK_AGAIN_MS
-                self._look(now)
-                if self._urgent:
-                    self._urgent = False
-                    self._spread()
-        return self._done()
+            watch.connecting = False
+            if (
+                refused
+                and (watch.answered_ms is None or watch.answered_ms < sent_ms)
+                and not self._resyncing(now)
+            ):
+                watch.record_refusal(now)
+                watch.next_connect_ms = now + CONNECT_RETRY_MS
+                self._update_reachable(now)
+                if self._gossip_due:
+                    self._gossip_due = False
+                    self._gossip()
+        return self._take_actions()
 
     # Pauses
 
-    def _wake(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         late = now - self._last_ms - TICK_MS
         self._last_ms = max(now, self._last_ms)
-        if late < AWAY_MS:
+        if late < MIN_PAUSE_MS:
             return
         self.counters.pauses += 1
         self.counters.paused_ms += late
-        for watch in self.watches.values():
-            watch.away(late)
-        for known in self.known.values():
-            if known.lost_ms is not None:
-                known.lost_ms += late
-        self.asking_until_ms = now + 2.0 * self.rules.probe_ms
-        self.heard_since_pause = not self.watches
-        self._out.append(Away(late))
-        if late >= AWAY_TOLD_MS:
-            self._out.append(Say(f"this process slept for {late:.0f} ms: nobody is accused of that time"))
-        for name in self._some(sorted(self.watches)):
-            self._whole(now, self.table.records[name])
-
-    def _asking(self, now: float) -> bool:
-        return now < self.asking_until_ms
+        for watch in self.monitors.values():
+            watch.credit_pause(late)
+        for known in self.member_info.values():
+            if known.unreachable_since_ms is not None:
+                known.unreachable_since_ms += late
+        self.resync_until_ms = now + 2.0 * self.rules.probe_ms
+        self.received_since_pause = not self.monitors
+        self._actions.append(ProcessPaused(late))
+        if late >= MIN_LOGGED_PAUSE_MS:
+            self._actions.append(
+                LogLine(f"this process slept for {late:.0f} ms: nobody is accused of that time")
+            )
+        for name in self._sample_fanout(sorted(self.monitors)):
+            self._request_full_sync(now, self.table.records[name])
+
+    def _resyncing(self, now: float) -> bool:
+        return now < self.resync_until_ms
 
     # Coming in
 
     def _try_to_join(self, now: float) -> None:
-        if now < self.shut_until_ms:
+        if now < self.name_conflict_until_ms:
             return
-        if self._twin_at is not None:
-            if now >= self._twin_until_ms:
-                self._twin_at = None
-                self._enter(now)
-        elif now - max(self._started_ms, self.shut_until_ms) >= JOIN_MS:
-            self._out.append(Say("nobody answered at the addresses to join: begins alone, goes on trying"))
-            self._enter(now)
-
-    def _enter(self, now: float) -> None:
+        if self._duplicate_address is not None:
+            if now >= self._duplicate_until_ms:
+                self._duplicate_address = None
+                self._become_member(now)
+        elif now - max(self._started_ms, self.name_conflict_until_ms) >= JOIN_TIMEOUT_MS:
+            self._actions.append(
+                LogLine("nobody answered at the addresses to join: begins alone, goes on trying")
+            )
+            self._become_member(now)
+
+    def _become_member(self, now: float) -> None:
         self.joined = True
-        self._hello_ms = now
-        self.known[self.name] = Known(now)
-        self.own = msgspec.structs.replace(self.own, incarnation=max(self._least, self.own.incarnation))
-        self._adopt(now, self.own, "joined", "by its own word")
+        self._next_discover_ms = now
+        self.member_info[self.name] = MemberInfo(now)
+        self.own_record = msgspec.structs.replace(
+            self.own_record, incarnation=max(self._first_incarnation, self.own_record.incarnation)
+        )
+        self._store(now, self.own_record, "joined", "by its own word")
 
-    def _welcome(self, now: float, message: Welcome) -> None:
-        asked = self._hellos.pop(message.nonce, None)
+    def _handle_discover_reply(self, now: float, message: DiscoverReply) -> None:
+        asked = self._pending_discovers.pop(message.nonce, None)
         if asked is None:
             return
-        if message.yours is not None and message.yours.run != self.run:
-            self._least = max(self._least, message.yours.incarnation + 1)
-            self.lived_before = True
+        if message.about_receiver is not None and message.about_receiver.run != self.run:
+            self._first_incarnation = max(self._first_incarnation, message.about_receiver.incarnation + 1)
+            self.had_earlier_run = True
         if not self.joined:
-            if now < self.shut_until_ms:
+            if now < self.name_conflict_until_ms:
                 return
             if not message.joined or message.own is None:
-                self._starting.add(asked)
-                if self._starting.issuperset(self.join) and self._twin_at is None:
-                    self._enter(now)  # all start at once: nobody is there to be asked
+                self._starting_addresses.add(asked)
+                if (
+                    self._starting_addresses.issuperset(self.join_addresses)
+                    and self._duplicate_address is None
+                ):
+                    self._become_member(now)  # all start at once: nobody is there to be asked
                 return
-            held = message.yours
+            held = message.about_receiver
             if (
                 held is not None
                 and held.state is State.ALIVE
                 and held.address != self.address
                 and held.run != self.run
             ):
-                if self._twin_at is None:  # does whoever has this name still live there?
-                    self._twin_at, self._twin_until_ms = held.address, now + JOIN_MS
-                    self._hello_to(held.address)
+                if self._duplicate_address is None:  # does whoever has this name still live there?
+                    self._duplicate_address, self._duplicate_until_ms = held.address, now + JOIN_TIMEOUT_MS
+                    self._send_discover_request(held.address)
                 return
-            if self._twin_at is None:
-                self._enter(now)
+            if self._duplicate_address is None:
+                self._become_member(now)
         if not self.joined:
             return
-        self._prove(now, message.run)
-        self._take_all(now, [x for x in (message.own, message.yours) if x is not None])
+        self._mark_proven(now, message.run)
+        self._apply_all(now, [x for x in (message.own, message.about_receiver) if x is not None])
         held = self.table.records.get(message.sender)
         if message.own is not None and held is not None:
-            self._whole(now, held, message.run, message.number)
+            self._request_full_sync(now, held, message.run, message.number)
 
-    def _outranks(self, message: wire.Told) -> bool:
+    def _name_conflict_ignored(self, message: wire.AnyMessage) -> bool:
         """Guards against two of one name that each give way to the other: who is no member puts no member
         out, and of two that are none the higher run goes on.  A stray tells of no membership."""
-        if isinstance(message, Welcome) and not message.joined:
+        if isinstance(message, DiscoverReply) and not message.joined:
             return self.joined or message.run < self.run
-        return isinstance(message, Stray)
+        return isinstance(message, WrongRun)
 
-    def _twin(self, now: float, run: int, came: Address | None) -> None:
+    def _resolve_name_conflict(self, now: float, run: int, came: Address | None) -> None:
         """Another living process has this name.  The one that came later, or has the lower run, gives way."""
-        if now < self.shut_until_ms:
+        if now < self.name_conflict_until_ms:
             return
         where = "" if came is None else f" (at {came[0]}:{came[1]})"
         if self.joined and run < self.run:
-            self._out.append(Say(f"another router calls itself {self.name} too{where}: it gives way", True))
+            self._actions.append(
+                LogLine(f"another router calls itself {self.name} too{where}: it gives way", True)
+            )
             return
-        self._out.append(
-            Say(
+        self._actions.append(
+            LogLine(
                 f"the name {self.name} is another living router's{where}: stays out of the "
-                f"members, and asks again in {SHUT_MS / 1000:.0f} s",
+                f"members, and asks again in {NAME_CONFLICT_RETRY_MS / 1000:.0f} s",
                 True,
             )
         )
-        self.shut_until_ms, self.joined, self._twin_at = now + SHUT_MS, False, None
-        self.own = msgspec.structs.replace(self.own, incarnation=1, hears=(), refused=())
-        self.table, self.known, self.watches = Table(), {}, {}
-        self._dirty, self._reached, self._lost, self._accused = True, {self.name}, set(), set()
-        self._out.append(Voided(0, "its name is another's"))
+        self.name_conflict_until_ms, self.joined, self._duplicate_address = (
+            now + NAME_CONFLICT_RETRY_MS,
+            False,
+            None,
+        )
+        self.own_record = msgspec.structs.replace(self.own_record, incarnation=1, reachable=(), refused=())
+        self.table, self.member_info, self.monitors = MemberTable(), {}, {}
+        self._reachability_dirty, self._reachable, self._unreachable, self._disputed = (
+            True,
+            {self.name},
+            set(),
+            set(),
+        )
+        self._actions.append(IncarnationVoided(0, "its name is another's"))
 
-    def _say_hello(self) -> None:
+    def _discover(self) -> None:
         """To the seeds while joining; then to one address by lot of those that are not members now."""
         if not self.joined:
-            targets = list(self.join)
-            if self._twin_at is not None:
-                targets.append(self._twin_at)
+            targets = list(self.join_addresses)
+            if self._duplicate_address is not None:
+                targets.append(self._duplicate_address)
         else:
             members = {self.table.records[x].address for x in self.table.names}
             gone = {x.address: x for x in self.table.records.values() if x.state is State.DEAD}
-            targets = [x for x in dict.fromkeys([*self.join, *gone]) if x not in members]
+            targets = [x for x in dict.fromkeys([*self.join_addresses, *gone]) if x not in members]
             targets = [self.random.choice(targets)] if targets else []
             if targets and targets[0] in gone:  # it may hear, and not be heard: then it learns of it
-                self._send(gone[targets[0]], News(news=[gone[targets[0]]]))
+                self._send(gone[targets[0]], Update(records=[gone[targets[0]]]))
         for address in targets:
-            self._hello_to(address)
+            self._send_discover_request(address)
 
-    def _hello_to(self, address: Address) -> None:
+    def _send_discover_request(self, address: Address) -> None:
         nonce = self.random.getrandbits(62)
-        self._hellos[nonce] = address
-        trim(self._hellos, HELLOS_MOST)
-        self._put(Send(address, Hello(nonce=nonce, host=self.address[0], port=self.address[1])), 0)
+        self._pending_discovers[nonce] = address
+        evict_oldest(self._pending_discovers, MAX_PENDING_DISCOVERS)
+        self._enqueue(
+            Send(address, DiscoverRequest(nonce=nonce, host=self.address[0], port=self.address[1])), 0
+        )
 
-    def _stranger(self, now: float, message: wire.Told) -> None:
+    def _handle_other_run(self, now: float, message: wire.AnyMessage) -> None:
         """Not said to this run: it may be old, or replayed.  It is answered within a bound, and no more."""
-        self._strangers = max(0.0, self._strangers - (now - self._strangers_ms) * REPLIES_S / 1000.0)
-        self._strangers_ms = now
-        if self._strangers >= REPLIES_S:
+        self._reply_budget_used = max(
+            0.0, self._reply_budget_used - (now - self._reply_budget_ms) * MAX_REPLIES_PER_S / 1000.0
+        )
+        self._reply_budget_ms = now
+        if self._reply_budget_used >= MAX_REPLIES_PER_S:
             self.counters.unanswered_strangers += 1
             return
-        self._strangers += 1.0
-        if isinstance(message, Hello):
-            if message.sender == self.name and self.joined and message.run != self._twin_told:
-                self._twin_told = message.run
+        self._reply_budget_used += 1.0
+        if isinstance(message, DiscoverRequest):
+            if message.sender == self.name and self.joined and message.run != self._logged_duplicate_run:
+                self._logged_duplicate_run = message.run
                 where = f"{message.host}:{message.port}"
-                self._out.append(Say(f"another router calls itself {self.name}, at {where}", True))
+                self._actions.append(LogLine(f"another router calls itself {self.name}, at {where}", True))
             self._reply(
                 message,
-                Welcome(
+                DiscoverReply(
                     nonce=message.nonce,
                     joined=self.joined,
-                    own=self.own if self.joined else None,
-                    yours=self.table.records.get(message.sender) if self.joined else None,
+                    own=self.own_record if self.joined else None,
+                    about_receiver=self.table.records.get(message.sender) if self.joined else None,
                 ),
             )
-            self._welcomes[self._number] = message.run
-            trim(self._welcomes, PROVEN_MOST)
-        elif not isinstance(message, Stray | Welcome):
+            self._sent_discover_replies[self._number] = message.run
+            evict_oldest(self._sent_discover_replies, MAX_PROVEN_RUNS)
+        elif not isinstance(message, WrongRun | DiscoverReply):
             self.counters.stray += 1
-            self._reply(message, Stray(of=message.number))
+            self._reply(message, WrongRun(message_number=message.number))
 
-    def _stray(self, now: float, message: Stray) -> None:
+    def _handle_wrong_run(self, now: float, message: WrongRun) -> None:
         """Where a member's run was, another one is: that run is over."""
-        watch, record = self.watches.get(message.sender), self.table.records.get(message.sender)
-        if watch is None or record is None or message.of not in watch.asked or record.run == message.run:
+        watch, record = self.monitors.get(message.sender), self.table.records.get(message.sender)
+        if (
+            watch is None
+            or record is None
+            or message.message_number not in watch.pending_pings
+            or record.run == message.run
+        ):
             return
-        self._hello_to(record.address)
+        self._send_discover_request(record.address)
         while not watch.refusing:
-            watch.refused(now)
-        self._look(now)
+            watch.record_refusal(now)
+        self._update_reachable(now)
 
     # News
 
-    def _fresh(self, message: wire.Told) -> bool:
-        window = self.windows.get(message.run)
+    def _is_fresh(self, message: wire.AnyMessage) -> bool:
+        window = self.replay_windows.get(message.run)
         if window is None:
-            window = self.windows[message.run] = Window()
-            trim(self.windows, WINDOWS)
+            window = self.replay_windows[message.run] = ReplayWindow()
+            evict_oldest(self.replay_windows, MAX_REPLAY_WINDOWS)
         else:
-            self.windows.move_to_end(message.run)
-        return window.take(message.number)
+            self.replay_windows.move_to_end(message.run)
+        return window.accept(message.number)
 
-    def _prove(self, now: float, run: int) -> None:
+    def _mark_proven(self, now: float, run: int) -> None:
         """Both directions to that run work, so its word counts for a while."""
-        self._proven.pop(run, None)
-        self._proven[run] = now + PROVEN_MS
-        trim(self._proven, PROVEN_MOST)
+        self._proven_until_ms.pop(run, None)
+        self._proven_until_ms[run] = now + PROOF_VALID_MS
+        evict_oldest(self._proven_until_ms, MAX_PROVEN_RUNS)
 
-    def _merge(self, now: float, message: Ping | Ack | Ask | News) -> None:
+    def _merge(self, now: float, message: Ping | Ack | SyncRequest | Update) -> None:
         """Who hears nobody holds all others for dead: his word on that is taken only where he is heard."""
-        believed = self._proven.get(message.run, -1e12) >= now or message.sender in self._reached
-        if not believed and len(self._reached) > 1:
-            self._take_all(now, [x for x in message.news if x.state is not State.DEAD])
+        believed = self._proven_until_ms.get(message.run, -1e12) >= now or message.sender in self._reachable
+        if not believed and len(self._reachable) > 1:
+            self._apply_all(now, [x for x in message.records if x.state is not State.DEAD])
         else:
-            self._take_all(now, message.news)
+            self._apply_all(now, message.records)
 
-    def _take_all(self, now: float, news: list[Record]) -> None:
+    def _apply_all(self, now: float, news: list[Record]) -> None:
         if not self.joined or self.left:
             return
         for record in news:
             if record.name == self.name:
-                self._defend(now, record)
-            elif self.table.newer(record):
-                self._take(now, record)
+                self._refute(now, record)
+            elif self.table.supersedes(record):
+                self._apply(now, record)
 
-    def _defend(self, now: float, told: Record) -> None:
+    def _refute(self, now: float, told: Record) -> None:
         """What is said of this router by others: only its own run may speak for it."""
-        if told.run == self.run and told.state is State.ALIVE or told.incarnation < self.own.incarnation:
+        if (
+            told.run == self.run
+            and told.state is State.ALIVE
+            or told.incarnation < self.own_record.incarnation
+        ):
             return
         if told.run != self.run:
-            self.lived_before = True
+            self.had_earlier_run = True
             if told.state is State.ALIVE and told.address != self.address:
-                self._taken_back = self._taken_back + 1 if told.run == self._taken_by else 1
-                self._taken_by = told.run
-                if self._taken_back >= TWINS:
-                    self._taken_back = 0
-                    self._twin(now, told.run, told.address)
+                self._reclaims = self._reclaims + 1 if told.run == self._reclaiming_run else 1
+                self._reclaiming_run = told.run
+                if self._reclaims >= MAX_NAME_RECLAIMS:
+                    self._reclaims = 0
+                    self._resolve_name_conflict(now, told.run, told.address)
                     if not self.joined:
                         return
             self._set_own(now, incarnation=told.incarnation + 1)
             return
         self._set_own(now, incarnation=told.incarnation + 1)
         self.counters.accused += 1
-        self._out.append(Voided(self.own.incarnation, told.by))
-        self._out.append(Say(f"was held for dead ({told.by}): goes on as incarnation {self.own.incarnation}"))
+        self._actions.append(IncarnationVoided(self.own_record.incarnation, told.state_reason))
+        self._actions.append(
+            LogLine(
+                f"was held for dead ({told.state_reason}): "
+                f"goes on as incarnation {self.own_record.incarnation}"
+            )
+        )
 
-    def _take(self, now: float, record: Record) -> None:
+    def _apply(self, now: float, record: Record) -> None:
         held = self.table.records.get(record.name)
         if held is None:
-            self._adopt(
+            self._store(
                 now,
                 record,
                 "joined" if record.state is State.ALIVE else record.state.name.lower(),
-                record.by or "by its own word",
+                record.state_reason or "by its own word",
             )
             return
         alive = held.state is State.ALIVE
@@ -605,136 +676,147 @@
             what = ""
             if held.incarnation != record.incarnation:
                 what = "restarted" if held.run != record.run else "returned"
-            self._adopt(now, record, what, "by its own word")
+            self._store(now, record, what, "by its own word")
             return
         if (
             alive
             and record.state is State.DEAD
             and record.incarnation == held.incarnation
-            and record.name in self._reached
+            and record.name in self._reachable
         ):
             # It is heard here, so the word is old or from the far side of a cut: it is told, and may object.
-            known = self.known[record.name]
-            if known.accused is None:
-                known.accused, known.accused_ms = record, -1e12
-                self._accused.add(record.name)
+            known = self.member_info[record.name]
+            if known.death_claim is None:
+                known.death_claim, known.death_claim_sent_ms = record, -1e12
+                self._disputed.add(record.name)
             return
-        self._adopt(now, record, record.state.name.lower(), record.by)
+        self._store(now, record, record.state.name.lower(), record.state_reason)
 
-    def _adopt(self, now: float, record: Record, what: str, reason: str) -> None:
+    def _store(self, now: float, record: Record, what: str, reason: str) -> None:
         held = self.table.records.get(record.name)
         if not self.table.put(record):
             return
         self.counters.news += 1
-        known = self.known.get(record.name)
+        known = self.member_info.get(record.name)
         if known is None:
-            known = self.known[record.name] = Known(now)
+            known = self.member_info[record.name] = MemberInfo(now)
         if what:
             known.since_ms = now
-            known.accused = None
+            known.death_claim = None
             if record.state is not State.ALIVE or what in ("restarted", "returned", "joined"):
-                known.lost_ms, known.suspect = None, False
+                known.unreachable_since_ms, known.suspect = None, False
             if what == "restarted":
-                self.watches.pop(record.name, None)  # nothing of the old run counts for the new one
-            self._out.append(Changed(record.name, what, reason, record.incarnation, self.table.view()))
-        if held is None or held.hears != record.hears or held.refused != record.refused or what:
-            self._urgent = self._dirty = True
+                self.monitors.pop(record.name, None)  # nothing of the old run counts for the new one
+            self._actions.append(
+                MemberChanged(record.name, what, reason, record.incarnation, self.table.view())
+            )
+        if held is None or held.reachable != record.reachable or held.refused != record.refused or what:
+            self._gossip_due = self._reachability_dirty = True
         if what:
-            self._rewatch = True  # at the next tick, once for all that came: rings of 400 names take 3 ms
-
-    def _watch(self, now: float) -> None:
-        self._rewatch = False
-        wanted = self._pair(self.name)[0]
-        for name in self.watches.keys() - wanted:
-            del self.watches[name]
-        for name in sorted(wanted - self.watches.keys()):
+            self._monitors_dirty = (
+                True  # at the next tick, once for all that came: rings of 400 names take 3 ms
+            )
+
+    def _update_monitors(self, now: float) -> None:
+        self._monitors_dirty = False
+        wanted = self._watch_relation(self.name)[0]
+        for name in self.monitors.keys() - wanted:
+            del self.monitors[name]
+        for name in sorted(wanted - self.monitors.keys()):
             first = now + self.random.uniform(0.0, min(TICK_MS * 2, self.rules.probe_ms))
-            self.watches[name] = Watch(now, first)
+            self.monitors[name] = PeerMonitor(now, first)
 
     def _set_own(self, now: float, **changed: object) -> None:
-        number = self.own.number + 1
-        was = self.own
-        self.own = msgspec.structs.replace(self.own, number=number, **changed)
-        what = "" if was.incarnation == self.own.incarnation else "returned"
-        if self.own.state is State.LEFT:
+        number = self.own_record.number + 1
+        was = self.own_record
+        self.own_record = msgspec.structs.replace(self.own_record, number=number, **changed)
+        what = "" if was.incarnation == self.own_record.incarnation else "returned"
+        if self.own_record.state is State.LEFT:
             what = "left"
-        self._adopt(now, self.own, what, self.own.by or "by its own word")
+        self._store(now, self.own_record, what, self.own_record.state_reason or "by its own word")
 
     def _publish_facts(self, now: float) -> None:
-        pace = max(PUBLISH_MS, PER_MEMBER_MS * len(self.table.names))
-        if self._facts is not None and now - self._published_ms >= pace:
+        pace = max(MIN_PUBLISH_INTERVAL_MS, PUBLISH_MS_PER_MEMBER * len(self.table.names))
+        if self._pending_facts is not None and now - self._published_ms >= pace:
             self._published_ms = now
-            self._set_own(now, facts=self._facts)
-            self._facts = None
+            self._set_own(now, facts=self._pending_facts)
+            self._pending_facts = None
 
-    def _news(self) -> list[Record]:
-        times = TIMES * max(1, len(self.table.names).bit_length())
-        return self.table.take_news(NEWS_BYTES, times)
+    def _next_updates(self) -> list[Record]:
+        times = REPEATS_PER_LOG2 * max(1, len(self.table.names).bit_length())
+        return self.table.take_updates(MAX_UPDATE_BYTES, times)
 
-    def _pair(self, name: str) -> tuple[frozenset[str], frozenset[str]]:
+    def _watch_relation(self, name: str) -> tuple[frozenset[str], frozenset[str]]:
         """Those that a member watches, and those that watch it."""
-        return rings(self.table.names, self.rules.watch).get(name, (frozenset(), frozenset()))
+        return watch_relations(self.table.names, self.rules.watch).get(name, (frozenset(), frozenset()))
 
     def _neighbours(self) -> list[str]:
         """Those that it watches and those that watch it."""
-        watched, watching = self._pair(self.name)
+        watched, watching = self._watch_relation(self.name)
         return sorted(watched | watching)
 
-    def _some(self, names: list[str]) -> list[str]:
-        return self.random.sample(names, min(FAN, len(names)))
+    def _sample_fanout(self, names: list[str]) -> list[str]:
+        return self.random.sample(names, min(GOSSIP_FANOUT, len(names)))
 
-    def _spread(self) -> None:
-        for name in self._some(self._neighbours()):
-            news = self._news()
+    def _gossip(self) -> None:
+        for name in self._sample_fanout(self._neighbours()):
+            news = self._next_updates()
             if news:
-                self._send(self.table.records[name], News(news=news))
+                self._send(self.table.records[name], Update(records=news))
 
     # Both hold the same?
 
-    def _same(self, now: float, message: Ping | Ack) -> None:
+    def _compare_digest(self, now: float, message: Ping | Ack) -> None:
         """Views that differ for longer than news take: what one has goes to the other, at a pace."""
-        record, known = self.table.records.get(message.sender), self.known.get(message.sender)
+        record, known = self.table.records.get(message.sender), self.member_info.get(message.sender)
         if record is None or known is None or record.run != message.run:
             return
         if message.digest == self.table.digest:
-            known.differs_ms = None
-        elif known.differs_ms is None:
-            known.differs_ms = now
-        elif now - known.differs_ms >= WHOLE_MS:
-            self._whole(now, record)
-
-    def _whole(self, now: float, record: Record, run: int = 0, of: int = 0) -> None:
-        known = self.known[record.name]
-        if now - known.whole_ms < WHOLE_MS:
+            known.differs_since_ms = None
+        elif known.differs_since_ms is None:
+            known.differs_since_ms = now
+        elif now - known.differs_since_ms >= FULL_SYNC_INTERVAL_MS:
+            self._request_full_sync(now, record)
+
+    def _request_full_sync(self, now: float, record: Record, run: int = 0, of: int = 0) -> None:
+        known = self.member_info[record.name]
+        if now - known.full_sync_ms < FULL_SYNC_INTERVAL_MS:
             return
-        known.whole_ms = now
+        known.full_sync_ms = now
         have = [(x.name, x.incarnation, x.state, x.number) for x in self.table.records.values()]
-        self._put(Send(record.address, Ask(of=of, have=have, news=[self.own])), run or record.run)
+        self._enqueue(
+            Send(record.address, SyncRequest(reply_number=of, versions=have, records=[self.own_record])),
+            run or record.run,
+        )
 
-    def _compare(self, now: float) -> None:
+    def _sync_slice(self, now: float) -> None:
         """One slice of all names with a member drawn by lot: what was lost is healed in a bounded time."""
-        if now < self._ask_ms:
+        if now < self._next_sync_ms:
             return
-        self._ask_ms = now + ASK_MS * self.random.uniform(0.8, 1.2)
+        self._next_sync_ms = now + SYNC_INTERVAL_MS * self.random.uniform(0.8, 1.2)
         others = [x for x in self.table.names if x != self.name]
         if not others:
             return
         first = self._next_slice
-        self._next_slice, names = self.table.slice(first, SLICE)
+        self._next_slice, names = self.table.names_from(first, SYNC_SLICE_NAMES)
         held = self.table.records
         have = [(x, held[x].incarnation, held[x].state, held[x].number) for x in names]
-        self._send(held[self.random.choice(others)], Ask(first=first, last=self._next_slice, have=have))
+        self._send(
+            held[self.random.choice(others)], SyncRequest(first=first, last=self._next_slice, versions=have)
+        )
 
-    def _answer(self, message: Ask) -> None:
+    def _answer_sync(self, message: SyncRequest) -> None:
         if not self.joined:
             return
-        told = {name: (incarnation, int(state), number) for name, incarnation, state, number in message.have}
+        told = {
+            name: (incarnation, int(state), number) for name, incarnation, state, number in message.versions
+        }
 
         def order(record: Record) -> tuple[int, int, int]:
             return record.incarnation, int(record.state), record.number
 
         newer, wanted = [], []
-        for name in self.table.order:
+        for name in self.table.sorted_names:
             if name < message.first or message.last and name >= message.last:
                 continue
             record = self.table.records[name]
@@ -744,110 +826,114 @@
             elif theirs > order(record):
                 wanted.append(name)
         wanted += told
-        self._records_to(message, newer, tuple(wanted))
+        self._reply_with_records(message, newer, tuple(wanted))
 
-    def _records_to(self, message: wire.Told, records: list[Record], wanted: tuple[str, ...] = ()) -> None:
+    def _reply_with_records(
+        self, message: wire.AnyMessage, records: list[Record], wanted: tuple[str, ...] = ()
+    ) -> None:
         if records or wanted:
-            self._reply(message, News(news=records, wanted=wanted))
+            self._reply(message, Update(records=records, wanted=wanted))
 
     # Watching
 
     def _probe(self, now: float) -> None:
-        for name, watch in self.watches.items():
+        for name, watch in self.monitors.items():
             record = self.table.records[name]
             if now >= watch.next_ping_ms:
                 watch.next_ping_ms = now + self.rules.probe_ms * self.random.uniform(0.9, 1.1)
-                self._send(record, Ping(digest=self.table.digest, news=self._news()))
-                watch.sent(self._number, now)
+                self._send(record, Ping(digest=self.table.digest, records=self._next_updates()))
+                watch.record_ping(self._number, now)
             if (
-                not watch.knocking
-                and now >= watch.next_knock_ms
-                and watch.silent_ms(now) > KNOCK_AFTER * self.rules.probe_ms
-                and not self._asking(now)
+                not watch.connecting
+                and now >= watch.next_connect_ms
+                and watch.silent_ms(now) > CONNECT_AFTER_PROBES * self.rules.probe_ms
+                and not self._resyncing(now)
             ):
-                watch.knocking = True
-                watch.next_knock_ms = now + KNOCK_MS
+                watch.connecting = True
+                watch.next_connect_ms = now + CONNECT_INTERVAL_MS
                 self.counters.knocks += 1
                 ping = Ping(digest=self.table.digest)
-                self._address(ping, record.run)
-                watch.sent(self._number, now)
-                self._out.append(Knock(name, record.run, record.address, ping))
-        for name in list(self._accused):
-            known = self.known[name]
-            if known.accused is None:
-                self._accused.discard(name)
-            elif now - known.accused_ms >= HELLO_MS:
-                known.accused_ms = now
-                self._send(self.table.records[name], News(news=[known.accused]))
-
-    def _heard(self, name: str, run: int, of: int) -> None:
-        watch, record = self.watches.get(name), self.table.records.get(name)
+                self._fill_header(ping, record.run)
+                watch.record_ping(self._number, now)
+                self._actions.append(ConnectProbe(name, record.run, record.address, ping))
+        for name in list(self._disputed):
+            known = self.member_info[name]
+            if known.death_claim is None:
+                self._disputed.discard(name)
+            elif now - known.death_claim_sent_ms >= DISCOVER_INTERVAL_MS:
+                known.death_claim_sent_ms = now
+                self._send(self.table.records[name], Update(records=[known.death_claim]))
+
+    def _record_answer(self, name: str, run: int, of: int) -> None:
+        watch, record = self.monitors.get(name), self.table.records.get(name)
         if watch is None or record is None or record.run != run:
             return
-        sent_ms = watch.asked.pop(of, None)
+        sent_ms = watch.pending_pings.pop(of, None)
         if sent_ms is not None:
-            first = watch.heard_ms is None
-            watch.heard(sent_ms)
-            if first or name not in self.own.hears:
-                self._look(self._last_ms)
+            first = watch.answered_ms is None
+            watch.record_answer(sent_ms)
+            if first or name not in self.own_record.reachable:
+                self._update_reachable(self._last_ms)
 
-    def _look(self, now: float) -> None:
+    def _update_reachable(self, now: float) -> None:
         """Which of those that it watches are heard: told to all as soon as it changes."""
-        if not self.joined or self._asking(now):
+        if not self.joined or self._resyncing(now):
             return
-        hears = tuple(name for name in sorted(self.watches) if self._hears(self.watches[name], now))
-        refused = tuple(name for name in sorted(self.watches) if self.watches[name].refusing)
-        if hears != self.own.hears or refused != self.own.refused:
-            self._set_own(now, hears=hears, refused=refused)
+        hears = tuple(name for name in sorted(self.monitors) if self._is_reachable(self.monitors[name], now))
+        refused = tuple(name for name in sorted(self.monitors) if self.monitors[name].refusing)
+        if hears != self.own_record.reachable or refused != self.own_record.refused:
+            self._set_own(now, reachable=hears, refused=refused)
 
-    def _hears(self, watch: Watch, now: float) -> bool:
-        quiet = watch.heard_ms is None or watch.silent_ms(now) > self.rules.quiet_ms
+    def _is_reachable(self, watch: PeerMonitor, now: float) -> bool:
+        quiet = watch.answered_ms is None or watch.silent_ms(now) > self.rules.quiet_ms
         return not quiet and not watch.refusing
 
-    def _judge(self, now: float) -> None:
+    def _evaluate_members(self, now: float) -> None:
         """Who is reached, who is under suspicion, and who is out."""
         names = self.table.names
-        if self._dirty:
-            self._dirty = False
-            self._reached = reached(self.name, self.own.hears, self.table.records, names)
-            self._lost.update(set(names) - self._reached)
-        if not self._lost:
+        if self._reachability_dirty:
+            self._reachability_dirty = False
+            self._reachable = reachable_from(self.name, self.own_record.reachable, self.table.records, names)
+            self._unreachable.update(set(names) - self._reachable)
+        if not self._unreachable:
             return
-        for name in sorted(self._lost):
-            known = self.known[name]
-            if name in self._reached or not self.table.alive(name):
+        for name in sorted(self._unreachable):
+            known = self.member_info[name]
+            if name in self._reachable or not self.table.alive(name):
                 if known.suspect and self.table.alive(name):
-                    self._suspect(name, known, False, "heard again")
-                known.lost_ms = None
-                self._lost.discard(name)
+                    self._set_suspect(name, known, False, "heard again")
+                known.unreachable_since_ms = None
+                self._unreachable.discard(name)
                 continue
-            if known.lost_ms is None:
-                known.lost_ms = max(now, known.since_ms + self.rules.quiet_ms)  # a newcomer is given time
-            if self._asking(now):
+            if known.unreachable_since_ms is None:
+                known.unreachable_since_ms = max(
+                    now, known.since_ms + self.rules.quiet_ms
+                )  # a newcomer is given time
+            if self._resyncing(now):
                 continue
-            reason = self._verdict(now, name, known, self._pair(name)[1])
+            reason = self._death_reason(now, name, known, self._watch_relation(name)[1])
             if reason:
                 dead = msgspec.structs.replace(
                     self.table.records[name],
                     state=State.DEAD,
-                    hears=(),
+                    reachable=(),
                     refused=(),
                     facts=b"",
-                    by=f"{self.name}: {reason}"[:256],
+                    state_reason=f"{self.name}: {reason}"[:256],
                 )
-                self._adopt(now, dead, "dead", dead.by)
+                self._store(now, dead, "dead", dead.state_reason)
             elif (
                 not known.suspect
-                and now - known.lost_ms >= SUSPECT_MS
+                and now - known.unreachable_since_ms >= SUSPECT_MS
                 and now - known.since_ms >= self.rules.quiet_ms
             ):
-                self._suspect(name, known, True, "heard by none that can be reached")
+                self._set_suspect(name, known, True, "heard by none that can be reached")
 
-    def _suspect(self, name: str, known: Known, so: bool, reason: str) -> None:
+    def _set_suspect(self, name: str, known: MemberInfo, so: bool, reason: str) -> None:
         known.suspect = so
         known.since_ms = self._last_ms
-        self._out.append(
-            Changed(
+        self._actions.append(
+            MemberChanged(
                 name,
                 "suspect" if so else "heard",
                 reason,
@@ -856,15 +942,18 @@
             )
         )
 
-    def _verdict(self, now: float, name: str, known: Known, observers: frozenset[str]) -> str:
+    def _death_reason(self, now: float, name: str, known: MemberInfo, observers: frozenset[str]) -> str:
         """Why a member that nobody reaches is out, or "" while it is not."""
-        if known.accused is not None and known.accused.incarnation == self.table.records[name].incarnation:
-            return f"nobody hears it here either; {known.accused.by}"
-        voters = [x for x in sorted(observers) if x in self._reached]
+        if (
+            known.death_claim is not None
+            and known.death_claim.incarnation == self.table.records[name].incarnation
+        ):
+            return f"nobody hears it here either; {known.death_claim.state_reason}"
+        voters = [x for x in sorted(observers) if x in self._reachable]
         refused = [x for x in voters if name in self.table.records[x].refused]
         if voters and 2 * len(refused) > len(voters):
             return f"its address refuses connections, say {', '.join(refused)}"
-        lost = now - (known.lost_ms if known.lost_ms is not None else now)
+        lost = now - (known.unreachable_since_ms if known.unreachable_since_ms is not None else now)
         if lost >= self.rules.out_ms:
             who = ", ".join(voters) or "all out of reach"
             return f"heard by none of its observers ({who}) for {lost:.0f} ms"
@@ -873,20 +962,20 @@
     # Sending
 
     def _send(self, record: Record, message: Message) -> None:
-        self._put(Send(record.address, message), record.run)
+        self._enqueue(Send(record.address, message), record.run)
 
-    def _reply(self, message: wire.Told, answer: Message) -> None:
-        self._put(Send(None, answer), message.run)
+    def _reply(self, message: wire.AnyMessage, answer: Message) -> None:
+        self._enqueue(Send(None, answer), message.run)
 
-    def _address(self, message: Message, run: int) -> None:
+    def _fill_header(self, message: Message, run: int) -> None:
         self._number += 1
-        message.sender, message.run, message.to, message.number = self.name, self.run, run, self._number
+        message.sender, message.run, message.to_run, message.number = self.name, self.run, run, self._number
 
-    def _put(self, send: Send, run: int) -> None:
-        self._address(send.message, run)
+    def _enqueue(self, send: Send, run: int) -> None:
+        self._fill_header(send.message, run)
         self.counters.sent += 1
-        self._out.append(send)
+        self._actions.append(send)
 
-    def _done(self) -> list[Action]:
-        done, self._out = self._out, []
+    def _take_actions(self) -> list[Action]:
+        done, self._actions = self._actions, []
         return done
--- a/cloverhinge/members/table.py
+++ b/cloverhinge/members/table.py
@@ -15,7 +15,7 @@
 
 from cloverhinge.members.wire import Record, State
 
-MOST = 1024  # members, those that are gone counted
+MAX_RECORDS = 1024  # members, those that are gone counted
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,11 +29,11 @@
     number: int
     digest: int
     names: tuple[str, ...]
-    whole: int
+    expected: int
 
     @property
     def majority(self) -> bool:
-        return 2 * len(self.names) > self.whole
+        return 2 * len(self.names) > self.expected
 
 
 def rank(record: Record) -> tuple[int, int, int, int]:
@@ -42,25 +42,27 @@
     return record.incarnation, int(record.state), 0, 0
 
 
-def changes(record: Record) -> int:
+def change_count(record: Record) -> int:
     """How many changes of the view brought a member here: came, went, came again, ..."""
     return 2 * record.incarnation - 1 + (record.state is not State.ALIVE)
 
 
-def mark(record: Record) -> int:
+def digest_of(record: Record) -> int:
     text = f"{record.name} {record.incarnation} {int(record.state)}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big") >> 1
 
 
-class Table:
+class MemberTable:
     def __init__(self) -> None:
         self.records: dict[str, Record] = {}
         self.sizes: dict[str, int] = {}  # bytes of each record on the wire
-        self.news: OrderedDict[str, int] = OrderedDict()  # names to pass on, and how often they were
-        self.number, self.digest, self.whole = 0, 0, 0
+        self.pending_updates: OrderedDict[str, int] = (
+            OrderedDict()
+        )  # names to pass on, and how often they were
+        self.number, self.digest, self.expected = 0, 0, 0
         self._names: tuple[str, ...] | None = ()
-        self._order: list[str] = []  # all names sorted, for slices
-        self.turned_away = 0
+        self._sorted_names: list[str] = []  # all names sorted, for slices
+        self.rejected = 0
 
     def alive(self, name: str) -> bool:
         record = self.records.get(name)
@@ -73,23 +75,23 @@
         return self._names
 
     @property
-    def order(self) -> list[str]:
-        if len(self._order) != len(self.records):
-            self._order = sorted(self.records)
-        return self._order
+    def sorted_names(self) -> list[str]:
+        if len(self._sorted_names) != len(self.records):
+            self._sorted_names = sorted(self.records)
+        return self._sorted_names
 
     def view(self) -> View:
-        return View(self.number, self.digest, self.names, self.whole)
+        return View(self.number, self.digest, self.names, self.expected)
 
-    def newer(self, record: Record) -> bool:
+    def supersedes(self, record: Record) -> bool:
         held = self.records.get(record.name)
         return held is None or rank(record) > rank(held)
 
     def put(self, record: Record) -> bool:
         """Takes a newer record; False where the table is full of others."""
         held = self.records.get(record.name)
-        if held is None and len(self.records) >= MOST and not self._make_room():
-            self.turned_away += 1
+        if held is None and len(self.records) >= MAX_RECORDS and not self._evict_left():
+            self.rejected += 1
             return False
         if held is not None:
             self._count(held, -1)
@@ -98,44 +100,44 @@
         self.records[record.name] = record
         self.sizes[record.name] = len(msgspec.msgpack.encode(record))
         self._count(record, 1)
-        self.news.pop(record.name, None)
-        self.news[record.name] = 0
+        self.pending_updates.pop(record.name, None)
+        self.pending_updates[record.name] = 0
         return True
 
     def _count(self, record: Record, sign: int) -> None:
-        self.number += sign * changes(record)
-        self.digest ^= mark(record)
-        self.whole += sign * (record.state is not State.LEFT)
+        self.number += sign * change_count(record)
+        self.digest ^= digest_of(record)
+        self.expected += sign * (record.state is not State.LEFT)
 
-    def _make_room(self) -> bool:
+    def _evict_left(self) -> bool:
         """Who left by plan makes room; who is dead counts in `whole`, and stays."""
         for name, record in self.records.items():
             if record.state is State.LEFT:
                 self._count(record, -1)
                 del self.records[name], self.sizes[name]
-                self.news.pop(name, None)
+                self.pending_updates.pop(name, None)
                 return True
         return False
 
-    def take_news(self, room: int, times: int) -> list[Record]:
+    def take_updates(self, max_bytes: int, repeats: int) -> list[Record]:
         """The least told news that fit into `room` bytes; each is told `times` times and then no more."""
         told: list[Record] = []
-        for name in list(self.news):
+        for name in list(self.pending_updates):
             size = self.sizes[name]
-            if size > room:
-                if room < 64:
+            if size > max_bytes:
+                if max_bytes < 64:
                     break
                 continue
-            room -= size
+            max_bytes -= size
             told.append(self.records[name])
-            count = self.news.pop(name) + 1
-            if count < times:
-                self.news[name] = count
+            count = self.pending_updates.pop(name) + 1
+            if count < repeats:
+                self.pending_updates[name] = count
         return told
 
-    def slice(self, after: str, most: int) -> tuple[str, list[str]]:
+    def names_from(self, first: str, limit: int) -> tuple[str, list[str]]:
         """Up to `most` names from `after` on, and where the next slice begins ("": at the start)."""
-        order = self.order
-        at = bisect.bisect_left(order, after)
-        names = order[at : at + most]
-        return (order[at + most] if at + most < len(order) else ""), names
+        order = self.sorted_names
+        at = bisect.bisect_left(order, first)
+        names = order[at : at + limit]
+        return (order[at + limit] if at + limit < len(order) else ""), names
--- a/cloverhinge/members/transport.py
+++ b/cloverhinge/members/transport.py
@@ -16,87 +16,103 @@
 from twisted.protocols.basic import Int32StringReceiver
 
 from cloverhinge.core.clock import Clock
-from cloverhinge.core.deadlines import Deadlines, Key
+from cloverhinge.core.deadlines import DeadlineKey, Deadlines
 from cloverhinge.members import core, wire
 from cloverhinge.site.model import MembersSite
 
-IDLE_MS = 1000.0  # a connection that brings nothing for so long is closed: it carries one question and answer
-OUT_MOST, IN_MOST = 16, 16  # connections at a time; with FRAME_MOST this bounds what they hold to 16 MB
+IDLE_TIMEOUT_MS = (
+    1000.0  # a connection that brings nothing for so long is closed: it carries one question and answer
+)
+MAX_OUTGOING, MAX_INCOMING = (
+    16,
+    16,
+)  # connections at a time; with FRAME_MOST this bounds what they hold to 16 MB
 PORT_TRIES = 8  # for a port that is free for both UDP and TCP, where any will do
-TOLD_AGAIN_MS = 60_000.0  # between two log lines on the same trouble with the same peer
-TOLD_MOST = 256  # peers and troubles remembered for that
+MIN_LOG_INTERVAL_MS = 60_000.0  # between two log lines on the same trouble with the same peer
+MAX_LOGGED_TROUBLES = 256  # peers and troubles remembered for that
 
-Event = core.Away | core.Changed | core.Voided
+Event = core.ProcessPaused | core.MemberChanged | core.IncarnationVoided
 
 
-class Frames(Int32StringReceiver):
+class FrameProtocol(Int32StringReceiver):
     """One connection, from either end: sealed messages with their lengths ahead."""
 
-    MAX_LENGTH = wire.FRAME_MOST
+    MAX_LENGTH = wire.MAX_FRAME_BYTES
     transport: Any
 
-    def __init__(self, link: Link, first: bytes = b"", knock: core.Knock | None = None) -> None:
-        self.link, self.first, self.knock = link, first, knock
-        self.sent_ms = link.clock.now()
-        self.idle: Key | None = None
+    def __init__(
+        self, owner: MembershipTransport, first_message: bytes = b"", probe: core.ConnectProbe | None = None
+    ) -> None:
+        self.owner, self.first_message, self.probe = owner, first_message, probe
+        self.sent_ms = owner.clock.now()
+        self.idle: DeadlineKey | None = None
 
     def connectionMade(self) -> None:
-        if self.knock is None and not self.first:
-            self.link.incoming += 1
-        if self.first:
-            self.sendString(self.first)  # type: ignore[no-untyped-call]
-        self.idle = self.link.deadlines.after(IDLE_MS, self.close)
+        if self.probe is None and not self.first_message:
+            self.owner.incoming_count += 1
+        if self.first_message:
+            self.sendString(self.first_message)  # type: ignore[no-untyped-call]
+        self.idle = self.owner.deadlines.after(IDLE_TIMEOUT_MS, self.close)
 
     def stringReceived(self, data: bytes) -> None:
-        self.link.deadlines.cancel(self.idle)
-        self.idle = self.link.deadlines.after(IDLE_MS, self.close)
+        self.owner.deadlines.cancel(self.idle)
+        self.idle = self.owner.deadlines.after(IDLE_TIMEOUT_MS, self.close)
         peer = self.transport.getPeer()
-        self.link.take(data, (peer.host, peer.port), self)
-        if self.knock is not None:
+        self.owner.receive(data, (peer.host, peer.port), self)
+        if self.probe is not None:
             self.close()
 
     def lengthLimitExceeded(self, length: int) -> None:
-        self.link.bad("long", self.transport.getPeer().host, f"it announces a message of {length} bytes")
+        self.owner.report_trouble(
+            "long", self.transport.getPeer().host, f"it announces a message of {length} bytes"
+        )
         self.transport.abortConnection()
 
     def close(self) -> None:
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.link.deadlines.cancel(self.idle)
-        if self.knock is not None or self.first:
-            self.link.outgoing -= 1
-            self.link.over(self.knock, self.sent_ms, False)
+        self.owner.deadlines.cancel(self.idle)
+        if self.probe is not None or self.first_message:
+            self.owner.outgoing_count -= 1
+            self.owner.probe_ended(self.probe, self.sent_ms, False)
         else:
-            self.link.incoming -= 1
+            self.owner.incoming_count -= 1
 
 
-class Outgoing(ClientFactory):
+class OutgoingFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, link: Link, first: bytes, knock: core.Knock | None) -> None:
-        self.link, self.first, self.knock, self.sent_ms = link, first, knock, link.clock.now()
+    def __init__(
+        self, owner: MembershipTransport, first_message: bytes, probe: core.ConnectProbe | None
+    ) -> None:
+        self.owner, self.first_message, self.probe, self.sent_ms = (
+            owner,
+            first_message,
+            probe,
+            owner.clock.now(),
+        )
 
-    def buildProtocol(self, addr: Any) -> Frames:
-        return Frames(self.link, self.first, self.knock)
+    def buildProtocol(self, addr: Any) -> FrameProtocol:
+        return FrameProtocol(self.owner, self.first_message, self.probe)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.link.outgoing -= 1
+        self.owner.outgoing_count -= 1
         refused = reason.check(ConnectionRefusedError) is not None
-        self.link.over(self.knock, self.sent_ms, refused)
+        self.owner.probe_ended(self.probe, self.sent_ms, refused)
 
 
-class Incoming(ServerFactory):
+class IncomingFactory(ServerFactory):
     noisy = False
 
-    def __init__(self, link: Link) -> None:
-        self.link = link
+    def __init__(self, owner: MembershipTransport) -> None:
+        self.owner = owner
 
-    def buildProtocol(self, addr: Any) -> Frames | None:
-        return Frames(self.link) if self.link.incoming < IN_MOST else None
+    def buildProtocol(self, addr: Any) -> FrameProtocol | None:
+        return FrameProtocol(self.owner) if self.owner.incoming_count < MAX_INCOMING else None
 
 
-class Link(DatagramProtocol):
+class MembershipTransport(DatagramProtocol):
     """A part of the node: `start`, `status`, `told_to_end`; parts built on it `watch` and ask `awake`."""
 
     log = Logger()
@@ -108,18 +124,18 @@
         self, reactor: Any, site: MembersSite, name: str, clock: Clock, deadlines: Deadlines, seed: int
     ) -> None:
         self.reactor, self.site, self.name, self.clock, self.deadlines = reactor, site, name, clock, deadlines
-        self.seal = wire.Seal(site.keys)
+        self.authenticator = wire.Authenticator(site.keys)
         self.random = random.Random(f"members {seed}")
-        self.troubles: Counter[str] = Counter()
-        self.watchers: list[Callable[[Event], None]] = []
-        self.hearers: dict[str, Callable[[core.Carried], None]] = {}  # by the part's key
-        self.incoming = self.outgoing = 0
-        self.members: core.Members
+        self.trouble_counts: Counter[str] = Counter()
+        self.listeners: list[Callable[[Event], None]] = []
+        self.receivers: dict[str, Callable[[core.ComponentMessageReceived], None]] = {}  # by the part's key
+        self.incoming_count = self.outgoing_count = 0
+        self.membership: core.Membership
         self.address = site.advertise or site.listen
-        self._told: OrderedDict[tuple[str, str], float] = OrderedDict()
+        self._logged_ms: OrderedDict[tuple[str, str], float] = OrderedDict()
         self._udp: Any = None
         self._tcp: Any = None
-        self._begun = False
+        self._started = False
 
     # The node's side
 
@@ -129,7 +145,7 @@
         if self.site.advertise is None or self.site.advertise[1] == 0:
             self.address = (self.address[0], port)
         rules = core.Rules(self.site.probe_ms, self.site.quiet_ms, self.site.out_ms, self.site.watch)
-        self.members = core.Members(
+        self.membership = core.Membership(
             self.name,
             self.site.site,
             self.address,
@@ -147,8 +163,8 @@
             at=self.address[1],
             site=self.site.site,
         )
-        self._begun = True
-        self._act(self.members.start(self.clock.now()), None)
+        self._started = True
+        self._perform(self.membership.start(self.clock.now()), None)
         self.deadlines.after(self.random.uniform(0.0, core.TICK_MS), self._tick)
 
     def _listen(self) -> tuple[str, int]:
@@ -157,7 +173,7 @@
             self._udp = self.reactor.listenUDP(port, self, interface=host, maxPacketSize=65536)
             found: int = self._udp.getHost().port
             try:
-                self._tcp = self.reactor.listenTCP(found, Incoming(self), interface=host)
+                self._tcp = self.reactor.listenTCP(found, IncomingFactory(self), interface=host)
                 return host, found
             except CannotListenError:
                 self._udp.stopListening()
@@ -167,36 +183,38 @@
 
     def publish(self, facts: dict[str, Any]) -> None:
         """Replaces this member's facts; ValueError where they are over 512 bytes of msgpack."""
-        self._act(self.members.publish(self.clock.now(), msgspec.msgpack.encode(facts)), None)
+        self._perform(self.membership.publish(self.clock.now(), msgspec.msgpack.encode(facts)), None)
 
-    def awake(self) -> bool:
+    def check_trusted(self) -> bool:
         """To be asked before a part acts on membership: tells of a pause first, and whether to trust."""
-        self._act(self.members.awake(self.clock.now()), None)
-        return self.members.trusted
+        self._perform(self.membership.check_pause(self.clock.now()), None)
+        return self.membership.trusted
 
-    def carry(self, name: str, run: int, part: str, body: bytes) -> None:
+    def send_component_message(self, name: str, run: int, component: str, body: bytes) -> None:
         """What a part says to the same part of that run; it may be lost."""
-        self._act(self.members.carry(self.clock.now(), name, run, part, body), None)
+        self._perform(
+            self.membership.send_component_message(self.clock.now(), name, run, component, body), None
+        )
 
-    def told_to_end(self) -> None:
-        self._act(self.members.leave(self.clock.now()), None)
+    def begin_shutdown(self) -> None:
+        self._perform(self.membership.leave(self.clock.now()), None)
 
     def status(self) -> dict[str, Any]:
-        members, now = self.members, self.clock.now()
+        members, now = self.membership, self.clock.now()
         view = members.view()
         rows = []
-        for name in members.table.order:
+        for name in members.table.sorted_names:
             record = members.table.records[name]
-            heard, unheard = members.reach(name)
+            heard, unheard = members.split_observers(name)
             rows.append(
                 {
                     "name": name,
                     "site": record.site,
                     "state": members.state(name),
                     "incarnation": record.incarnation,
-                    "since_ms": round(now - members.known[name].since_ms),
+                    "since_ms": round(now - members.member_info[name].since_ms),
                     "reach": {"heard_by": heard, "not_heard_by": unheard},
-                    "by": record.by,
+                    "by": record.state_reason,
                     "address": f"{record.host}:{record.port}",
                     "facts": msgspec.msgpack.decode(record.facts) if record.facts else {},
                 }
@@ -205,72 +223,76 @@
             "view": view.number,
             "digest": f"{view.digest:016x}",
             "in": len(view.names),
-            "whole": view.whole,
+            "whole": view.expected,
             "majority": view.majority,
             "joined": members.joined,
             "trusted": members.trusted,
             "list": rows,
             "counters": asdict(members.counters),
-            "turned_away": members.table.turned_away,
-            "refused": dict(self.troubles),
+            "turned_away": members.table.rejected,
+            "refused": dict(self.trouble_counts),
         }
 
     # The core's side
 
     def _tick(self) -> None:
-        self._act(self.members.due(self.clock.now()), None)
+        self._perform(self.membership.tick(self.clock.now()), None)
         self.deadlines.after(core.TICK_MS, self._tick)
 
-    def take(self, sealed: bytes, peer: core.Address, back: Frames | None) -> None:
-        if not self._begun:
+    def receive(self, sealed: bytes, peer: core.Address, reply_to: FrameProtocol | None) -> None:
+        if not self._started:
             return
         try:
-            message = wire.decode(self.seal.open(sealed))
-        except wire.Bad as error:
-            self.bad(error.kind, peer[0], str(error))
+            message = wire.decode(self.authenticator.verify(sealed))
+        except wire.MessageError as error:
+            self.report_trouble(error.kind, peer[0], str(error))
             return
-        self._act(self.members.received(self.clock.now(), message, peer), back or peer)
+        self._perform(self.membership.receive(self.clock.now(), message, peer), reply_to or peer)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        self.take(datagram, (addr[0], addr[1]), None)
+        self.receive(datagram, (addr[0], addr[1]), None)
 
-    def over(self, knock: core.Knock | None, sent_ms: float, refused: bool) -> None:
-        if knock is not None:
-            self._act(self.members.knocked(self.clock.now(), knock.name, knock.run, sent_ms, refused), None)
+    def probe_ended(self, probe: core.ConnectProbe | None, sent_ms: float, refused: bool) -> None:
+        if probe is not None:
+            self._perform(
+                self.membership.connect_ended(self.clock.now(), probe.name, probe.run, sent_ms, refused), None
+            )
 
-    def bad(self, kind: str, host: str, text: str) -> None:
+    def report_trouble(self, kind: str, host: str, text: str) -> None:
         """Counted; told once a minute for each peer and kind, so that no flood fills the log."""
-        self.troubles[kind] += 1
-        now, last = self.clock.now(), self._told.get((kind, host))
-        if last is not None and now - last < TOLD_AGAIN_MS:
+        self.trouble_counts[kind] += 1
+        now, last = self.clock.now(), self._logged_ms.get((kind, host))
+        if last is not None and now - last < MIN_LOG_INTERVAL_MS:
             return
-        self._told[kind, host] = now
-        while len(self._told) > TOLD_MOST:
-            self._told.popitem(last=False)
+        self._logged_ms[kind, host] = now
+        while len(self._logged_ms) > MAX_LOGGED_TROUBLES:
+            self._logged_ms.popitem(last=False)
         self.log.warn(
             "{name}: members: refuses a message from {host}: {text}", name=self.name, host=host, text=text
         )
 
-    def _act(self, actions: list[core.Action], back: Frames | core.Address | None) -> None:
+    def _perform(self, actions: list[core.Action], reply_to: FrameProtocol | core.Address | None) -> None:
         for action in actions:
             match action:
                 case core.Send():
-                    self._send(action, back)
-                case core.Knock():
-                    self._connect(action.to, self.seal.close(wire.encode(action.message)), action)
-                case core.Carried():
-                    hearer = self.hearers.get(action.part)
+                    self._send(action, reply_to)
+                case core.ConnectProbe():
+                    self._connect(
+                        action.address, self.authenticator.sign(wire.encode(action.message)), action
+                    )
+                case core.ComponentMessageReceived():
+                    hearer = self.receivers.get(action.component)
                     if hearer is not None:
                         hearer(action)
-                case core.Say():
+                case core.LogLine():
                     tell = self.log.error if action.error else self.log.info
                     tell("{name}: members: {text}", name=self.name, text=action.text)
                 case _:
-                    self._tell(action)
+                    self._notify(action)
 
-    def _tell(self, event: Event) -> None:
+    def _notify(self, event: Event) -> None:
         match event:
-            case core.Changed(name, what, reason, incarnation, view):
+            case core.MemberChanged(name, what, reason, incarnation, view):
                 self.log.info(
                     "{own}: members: {name} {what}, incarnation {incarnation} ({reason}); "
                     "view {number}:{digest} of {size}",
@@ -283,33 +305,38 @@
                     digest=f"{view.digest:016x}",
                     size=len(view.names),
                 )
-            case core.Away(ms):
+            case core.ProcessPaused(ms):
                 self.log.info("{name}: members: away for {ms} ms", name=self.name, ms=round(ms))
-        for watcher in self.watchers:
+        for watcher in self.listeners:
             watcher(event)
 
-    def _send(self, send: core.Send, back: Frames | core.Address | None) -> None:
-        sealed = self.seal.close(wire.encode(send.message))
-        to = send.to or back
-        if isinstance(to, Frames):
+    def _send(self, send: core.Send, reply_to: FrameProtocol | core.Address | None) -> None:
+        sealed = self.authenticator.sign(wire.encode(send.message))
+        to = send.address or reply_to
+        if isinstance(to, FrameProtocol):
             to.sendString(sealed)  # type: ignore[no-untyped-call]
         elif to is None:
             return
-        elif len(sealed) > wire.DATAGRAM_MOST:
+        elif len(sealed) > wire.MAX_DATAGRAM_BYTES:
             self._connect(to, sealed, None)
         else:
             try:
                 self._udp.write(sealed, to)  # not `transport`: a port that was given up takes that with it
             except OSError as error:  # a full buffer or no route: as good as lost, and others go on
-                self.bad("unsent", to[0], f"could not send to it: {error.strerror}")
+                self.report_trouble("unsent", to[0], f"could not send to it: {error.strerror}")
 
-    def _connect(self, to: core.Address, first: bytes, knock: core.Knock | None) -> None:
-        if self.outgoing >= OUT_MOST:
-            self.troubles["busy"] += 1
-            if knock is not None:  # told from the next round on: the core is in the middle of this one
-                self.deadlines.after(0.0, lambda: self.over(knock, self.clock.now(), False))
+    def _connect(self, to: core.Address, first_message: bytes, probe: core.ConnectProbe | None) -> None:
+        if self.outgoing_count >= MAX_OUTGOING:
+            self.trouble_counts["busy"] += 1
+            if probe is not None:  # told from the next round on: the core is in the middle of this one
+                self.deadlines.after(0.0, lambda: self.probe_ended(probe, self.clock.now(), False))
             return
-        self.outgoing += 1
+        self.outgoing_count += 1
         host = self.site.listen[0]
         bind = None if host in ("0.0.0.0", "") else (host, 0)  # so that the other end sees who it is
-        self.reactor.connectTCP(*to, Outgoing(self, first, knock), timeout=IDLE_MS / 1000.0, bindAddress=bind)
+        self.reactor.connectTCP(
+            *to,
+            OutgoingFactory(self, first_message, probe),
+            timeout=IDLE_TIMEOUT_MS / 1000.0,
+            bindAddress=bind,
+        )
--- a/cloverhinge/members/watch.py
+++ b/cloverhinge/members/watch.py
@@ -15,19 +15,21 @@
 
 from cloverhinge.members.wire import Record
 
-PINGS_KEPT = 16  # questions to one member whose answers still count: 6 s of them at the default pace
-REFUSALS = 2  # refused connections in a row before an address counts as refusing: one may be a restart
+MAX_PENDING_PINGS = 16  # questions to one member whose answers still count: 6 s of them at the default pace
+MIN_REFUSALS = 2  # refused connections in a row before an address counts as refusing: one may be a restart
 
 
 @lru_cache(maxsize=16)
-def rings(names: tuple[str, ...], most: int) -> dict[str, tuple[frozenset[str], frozenset[str]]]:
+def watch_relations(
+    names: tuple[str, ...], ring_count: int
+) -> dict[str, tuple[frozenset[str], frozenset[str]]]:
     """For each name those that it watches, and those that watch it; `names` sorted, `most` rings."""
-    if len(names) <= most + 1:
+    if len(names) <= ring_count + 1:
         every = frozenset(names)
         return {name: (every - {name}, every - {name}) for name in names}
     watched: dict[str, set[str]] = {name: set() for name in names}
     watching: dict[str, set[str]] = {name: set() for name in names}
-    for ring in range(most):
+    for ring in range(ring_count):
         order = sorted(names, key=lambda name: _place(name, ring))
         for name, following in zip(order, [*order[1:], order[0]], strict=True):
             watched[name].add(following)
@@ -40,7 +42,9 @@
     return hashlib.blake2b(f"{ring} {name}".encode(), digest_size=8).digest()
 
 
-def reached(own: str, hears: Iterable[str], records: Mapping[str, Record], names: Iterable[str]) -> set[str]:
+def reachable_from(
+    own: str, hears: Iterable[str], records: Mapping[str, Record], names: Iterable[str]
+) -> set[str]:
     """All that can be reached from here over those that hear them, oneself included."""
     left, found = set(names) - {own}, {own}
     following = [x for x in hears if x in left]
@@ -49,61 +53,61 @@
         if name in left:
             left.discard(name)
             found.add(name)
-            following += [x for x in records[name].hears if x in left]
+            following += [x for x in records[name].reachable if x in left]
     return found
 
 
-class Watch:
+class PeerMonitor:
     """One member that this one watches."""
 
     __slots__ = (
-        "asked",
-        "heard_ms",
-        "knocking",
-        "next_knock_ms",
+        "pending_pings",
+        "answered_ms",
+        "connecting",
+        "next_connect_ms",
         "next_ping_ms",
         "refusals",
-        "refused_ms",
+        "first_refusal_ms",
         "since_ms",
     )
 
     def __init__(self, now: float, first_ping_ms: float) -> None:
         self.since_ms = now
-        self.heard_ms: float | None = None  # when a question was sent that has been answered; never yet
+        self.answered_ms: float | None = None  # when a question was sent that has been answered; never yet
         self.next_ping_ms = first_ping_ms
-        self.next_knock_ms = now
-        self.asked: OrderedDict[int, float] = OrderedDict()  # pings out: number, when it was sent
-        self.knocking = False
+        self.next_connect_ms = now
+        self.pending_pings: OrderedDict[int, float] = OrderedDict()  # pings out: number, when it was sent
+        self.connecting = False
         self.refusals = 0
-        self.refused_ms = 0.0  # of the first refusal in the row
+        self.first_refusal_ms = 0.0  # of the first refusal in the row
 
-    def sent(self, number: int, now: float) -> None:
-        self.asked[number] = now
-        while len(self.asked) > PINGS_KEPT:
-            self.asked.popitem(last=False)
+    def record_ping(self, number: int, now: float) -> None:
+        self.pending_pings[number] = now
+        while len(self.pending_pings) > MAX_PENDING_PINGS:
+            self.pending_pings.popitem(last=False)
 
-    def heard(self, sent_ms: float) -> None:
+    def record_answer(self, sent_ms: float) -> None:
         """An answer proves that it lived after the question was sent, and no more."""
-        if self.heard_ms is None or sent_ms > self.heard_ms:
-            self.heard_ms = sent_ms
-        if sent_ms >= self.refused_ms:
+        if self.answered_ms is None or sent_ms > self.answered_ms:
+            self.answered_ms = sent_ms
+        if sent_ms >= self.first_refusal_ms:
             self.refusals = 0
 
-    def refused(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         if self.refusals == 0:
-            self.refused_ms = now
+            self.first_refusal_ms = now
         self.refusals += 1
 
     def silent_ms(self, now: float) -> float:
-        return now - (self.since_ms if self.heard_ms is None else self.heard_ms)
+        return now - (self.since_ms if self.answered_ms is None else self.answered_ms)
 
-    def away(self, ms: float) -> None:
+    def credit_pause(self, ms: float) -> None:
         """This member slept: the silence of that time was its own."""
         self.since_ms += ms
-        if self.heard_ms is not None:
-            self.heard_ms += ms
+        if self.answered_ms is not None:
+            self.answered_ms += ms
         self.refusals = 0
 
     @property
     def refusing(self) -> bool:
-        return self.refusals >= REFUSALS
+        return self.refusals >= MIN_REFUSALS
--- a/cloverhinge/node.py
+++ b/cloverhinge/node.py
@@ -32,21 +32,21 @@
 from cloverhinge.shutdown import Hooks, Phase, Shutdown
 from cloverhinge.site import AcmeSite, HlsSite, Site
 
-CAUGHT_UP_MS = 3000.0  # a change log that tells nothing for so long is not waited for; 6 s are given
+CATCH_UP_TIMEOUT_MS = 3000.0  # a change log that tells nothing for so long is not waited for; 6 s are given
 BACKLOG = 256
-PUBLISH_MS = 1000.0  # pace at which the facts for other routers are looked at
+PUBLISH_PERIOD_MS = 1000.0  # pace at which the facts for other routers are looked at
 
 reactor: Any = _reactor
 
 
-class Part(Protocol):
+class Component(Protocol):
     """A part that the site file turns on; later ones build on earlier ones."""
 
     key: str  # under which the admin's answer shows its status
 
     def start(self) -> None: ...
 
-    def told_to_end(self) -> None:
+    def begin_shutdown(self) -> None:
         """SIGTERM has come; the listener is still open."""
 
     def status(self) -> dict[str, Any]: ...
@@ -72,61 +72,70 @@
         self.front = Front(
             self.router, self.media_servers, self.clock, self.deadlines, most=config.sockets * 3 // 8
         )
-        self.boxes: dict[int, ServerAddress] = {}
+        self.servers: dict[int, ServerAddress] = {}
         self.discovery = DiscoveryWatch(
-            reactor, config.changelog, config.seq, self.deadlines, self.change, random.Random(config.seed)
+            reactor,
+            config.changelog,
+            config.seq,
+            self.deadlines,
+            self.apply_update,
+            random.Random(config.seed),
         )
         self.shutdown = Shutdown(
             config.name,
             self.front,
             self.router,
             self.deadlines,
-            self._longest_ms(),
+            self._max_wait_ms(),
             Hooks(
                 listeners=self._listeners,
-                closed=self._nothing_listens,
-                owns=lambda: self.custody is not None and self.custody.busy,
+                closed=self._listeners_closed,
+                owns=lambda: self.ownership is not None and self.ownership.busy,
                 ended=self._ended,
                 stop=reactor.stop,
             ),
         )
-        self.port: Any = None
-        self.web_ports: list[Any] = []
+        self.rtsp_listener: Any = None
+        self.hls_listeners: list[Any] = []
         self.plays: Any = None  # of the HLS front, where there is one
-        self.keeper: Any = None  # of certificates
-        self.gate: Any = None  # the door, where there is one
+        self.certificate_renewal: Any = None  # of certificates
+        self.admission: Any = None  # the door, where there is one
         if site.door is not None:
-            from cloverhinge.admission.gateway import Gate  # loaded only where the door is wanted
+            from cloverhinge.admission.gateway import AdmissionGateway  # loaded only where the door is wanted
 
-            self.gate = Gate(site.door, self.router, self.deadlines, config.seed)
-            self.front.identify = self.gate.clients.identify
-        self.parts: list[Part] = []
-        self.operation: Any = None  # of the staff, where the platform tells of them
-        if config.mgmt is not None or config.listener is not None:
+            self.admission = AdmissionGateway(site.door, self.router, self.deadlines, config.seed)
+            self.front.identify = self.admission.clients.identify
+        self.components: list[Component] = []
+        self.operations: Any = None  # of the staff, where the platform tells of them
+        if config.operator_address is not None or config.listener_fd is not None:
             from cloverhinge.operations.component import Operation  # loaded only where the staff call
 
             folder = os.environ.get("TMPDIR")
-            self.operation = Operation(
+            self.operations = Operation(
                 reactor,
                 config.name,
-                config.mgmt,
+                config.operator_address,
                 Path(folder) if folder else None,
                 config.sockets,
                 self.router,
                 self.deadlines,
             )
-            self.operation.shared = self.media_servers.share
+            self.operations.shared = self.media_servers.share
         if site.members is not None:
-            from cloverhinge.members.transport import Link  # loaded only where there are other routers
+            from cloverhinge.members.transport import (
+                MembershipTransport,  # loaded only where there are other routers
+            )
 
-            self.members = Link(reactor, site.members, config.name, self.clock, self.deadlines, config.seed)
-            self.parts.append(self.members)
-        self.custody: Any = None  # of work in hand, where it is wanted
+            self.members = MembershipTransport(
+                reactor, site.members, config.name, self.clock, self.deadlines, config.seed
+            )
+            self.components.append(self.members)
+        self.ownership: Any = None  # of work in hand, where it is wanted
         if site.custody is not None:
             from cloverhinge.ownership.component import Part as Custody  # loaded only where routers keep work
             from cloverhinge.rtsp.replicated_sessions import KeptSessions
 
-            self.custody = Custody(
+            self.ownership = Custody(
                 site.custody,
                 self.members,
                 self.router,
@@ -135,50 +144,50 @@
                 config.seed,
                 None if site.store is None else site.store.folder,
             )
-            KeptSessions(self.custody, self.router, self.front, self.media_servers)
-            if self.gate is not None and site.door is not None:
-                from cloverhinge.admission.replicated_reservations import KeptPromises
+            KeptSessions(self.ownership, self.router, self.front, self.media_servers)
+            if self.admission is not None and site.door is not None:
+                from cloverhinge.admission.replicated_reservations import ReplicatedReservations
 
-                KeptPromises(self.custody, self.gate, site.door.quote_most_ms)
-            self.parts.append(self.custody)
+                ReplicatedReservations(self.ownership, self.admission, site.door.quote_most_ms)
+            self.components.append(self.ownership)
         self.started_ms = self.clock.now()
 
     def start(self) -> None:
-        for at, change in enumerate(self.config.known):
-            self.change(change, api.ListKind.CACHED if at == 0 else None)
+        for at, change in enumerate(self.config.initial_updates):
+            self.apply_update(change, api.ListKind.CACHED if at == 0 else None)
         self.discovery.start()
         self.media_servers.start()
         self.front.start()
-        if self.operation is not None:
-            self.operation.start()
-        if self.config.listener is None:
+        if self.operations is not None:
+            self.operations.start()
+        if self.config.listener_fd is None:
             host, port = self.config.listen
-            self.port = reactor.listenTCP(port, self.front, backlog=BACKLOG, interface=host)
+            self.rtsp_listener = reactor.listenTCP(port, self.front, backlog=BACKLOG, interface=host)
             self._serve()
         else:
             # Guards against standing still in `accept` where the other process took what was there.
-            os.set_blocking(self.config.listener, False)
-            self.port = reactor.adoptStreamPort(self.config.listener, socket.AF_INET, self.front)
-            self.port.stopReading()  # until the list is known: another process may serve meanwhile
-            self.discovery.when_caught_up(self._serve, CAUGHT_UP_MS)
+            os.set_blocking(self.config.listener_fd, False)
+            self.rtsp_listener = reactor.adoptStreamPort(self.config.listener_fd, socket.AF_INET, self.front)
+            self.rtsp_listener.stopReading()  # until the list is known: another process may serve meanwhile
+            self.discovery.when_caught_up(self._serve, CATCH_UP_TIMEOUT_MS)
 
     def _serve(self) -> None:
         if self.stopping:
             return
-        self.port.startReading()
+        self.rtsp_listener.startReading()
         self.log.info(
             "{name}: listening on {host}:{port}, {boxes} boxes known",
             name=self.config.name,
             host=self.config.listen[0],
-            port=self.port.getHost().port,
-            boxes=len(self.boxes),
+            port=self.rtsp_listener.getHost().port,
+            boxes=len(self.servers),
         )
         if self.site.admin is not None:
             commands: dict[str, Callable[[str], dict[str, Any]]] = (
-                {} if self.custody is None else {"custody": self.custody.look}
+                {} if self.ownership is None else {"custody": self.ownership.look}
             )
-            if self.operation is not None:
-                commands |= self.operation.commands()
+            if self.operations is not None:
+                commands |= self.operations.commands()
             admin = reactor.listenTCP(
                 self.site.admin[1], Admin(self.status, commands), interface=self.site.admin[0]
             )
@@ -187,10 +196,10 @@
             )
         if self.site.hls is not None:
             self._start_hls(self.site.hls, self.site.acme)
-        for part in self.parts:
+        for part in self.components:
             part.start()
-        if self.operation is not None:
-            self.operation.serving()
+        if self.operations is not None:
+            self.operations.serving()
         if self.site.members is not None:
             self._publish()
 
@@ -200,18 +209,18 @@
             return
         router, host = self.router, self.config.listen[0]
         places = sum(router.settings.places_by_kind.get(x.kind, 0) for x in router.listings.values())
-        web = [x.getHost() for x in self.web_ports]
+        web = [x.getHost() for x in self.hls_listeners]
         self.members.publish(
             {
                 "version": __version__,
-                "rtsp": f"{host}:{self.port.getHost().port}",
+                "rtsp": f"{host}:{self.rtsp_listener.getHost().port}",
                 "hls": [f"{x.host}:{x.port}" for x in web],
                 "capacity": places,
-                "open": router.open,
-                "load": sum(len(x) for x in router.standing.values()),
+                "open": router.open_requests,
+                "load": sum(len(x) for x in router.established.values()),
             }
         )
-        self.deadlines.after(PUBLISH_MS, self._publish)
+        self.deadlines.after(PUBLISH_PERIOD_MS, self._publish)
 
     def _start_hls(self, site: HlsSite, acme: AcmeSite | None) -> None:
         from cloverhinge.hls import front, plays  # loaded only where the front is wanted
@@ -222,7 +231,7 @@
             self.router,
             self.deadlines,
             self.config.connect_ms,
-            self.boxes,
+            self.servers,
             site.box_port,
             site.boxes,
             site.manifest_bytes,
@@ -234,16 +243,16 @@
             boxes,
             held,
             self._proof,
-            None if self.gate is None else self.gate.clients.identify,
+            None if self.admission is None else self.admission.clients.identify,
         )
-        if self.custody is not None:
+        if self.ownership is not None:
             from cloverhinge.hls.replicated_plays import KeptPlays
 
-            KeptPlays(self.custody, held, boxes, site)
+            KeptPlays(self.ownership, held, boxes, site)
         host, port = site.listen
         wired = front.factory(root, self.config.sockets // 4, self.deadlines)
         web = reactor.listenTCP(port, wired, backlog=BACKLOG, interface=host)
-        self.web_ports.append(web)
+        self.hls_listeners.append(web)
         self.log.info(
             "{name}: HLS on {host}:{port}, {titles} titles",
             name=self.config.name,
@@ -261,9 +270,13 @@
             if self.stopping:
                 return
             tls = reactor.listenSSL(
-                site.listen[1], wired, self.keeper.live, backlog=BACKLOG, interface=site.listen[0]
+                site.listen[1],
+                wired,
+                self.certificate_renewal.live,
+                backlog=BACKLOG,
+                interface=site.listen[0],
             )
-            self.web_ports.append(tls)
+            self.hls_listeners.append(tls)
             self.log.info(
                 "{name}: HLS over TLS on {host}:{port}",
                 name=self.config.name,
@@ -271,57 +284,57 @@
                 port=tls.getHost().port,
             )
 
-        self.keeper = Keeper(
+        self.certificate_renewal = Keeper(
             site, self.deadlines, reactor.callFromThread, ready, random.Random(self.config.seed)
         )
-        self.keeper.start()
+        self.certificate_renewal.start()
 
     def _proof(self, token: str) -> str | None:
-        return None if self.keeper is None else self.keeper.proofs.get(token)
+        return None if self.certificate_renewal is None else self.certificate_renewal.proofs.get(token)
 
     def status(self) -> dict[str, Any]:
         certificate = None
-        if self.keeper is not None:
+        if self.certificate_renewal is not None:
             certificate = {
-                "domains": list(self.keeper.site.domains),
-                "expires_ms": self.keeper.expires_ms,
-                "error": self.keeper.error,
+                "domains": list(self.certificate_renewal.site.domains),
+                "expires_ms": self.certificate_renewal.expires_ms,
+                "error": self.certificate_renewal.error,
             }
         return (
             snapshot(
                 self.config.name,
                 self.router,
                 self.media_servers,
-                self.boxes,
+                self.servers,
                 self.started_ms,
                 certificate,
                 len(self.plays.table) if self.plays is not None else 0,
-                self.gate.status() if self.gate is not None else [],
+                self.admission.status() if self.admission is not None else [],
             )
-            | {part.key: part.status() for part in self.parts}
-            | ({} if self.operation is None else {"operation": self.operation.status()})
+            | {part.key: part.status() for part in self.components}
+            | ({} if self.operations is None else {"operation": self.operations.status()})
         )
 
-    def change(self, change: ListUpdate, kind: api.ListKind | None = None) -> None:
+    def apply_update(self, update: ListUpdate, kind: api.ListKind | None = None) -> None:
         """A list, or a change of one: the router first, as it says what may still be written to."""
-        if change.full and not change.rows and self.boxes:
-            change, kind = self._all_draining(change), api.ListKind.DELTA
-        if self.operation is not None:
-            self.operation.listed(box.name for box, _ in change.rows)
-        kind = kind or (api.ListKind.FULL if change.full else api.ListKind.DELTA)
+        if update.full and not update.rows and self.servers:
+            update, kind = self._all_draining(update), api.ListKind.DELTA
+        if self.operations is not None:
+            self.operations.listed(box.name for box, _ in update.rows)
+        kind = kind or (api.ListKind.FULL if update.full else api.ListKind.DELTA)
         if kind is not api.ListKind.DELTA:
-            self.boxes.clear()  # in place: both sides look boxes up in it
-        for box, listing in change.rows:
-            self.boxes.pop(box.number, None)
+            self.servers.clear()  # in place: both sides look boxes up in it
+        for box, listing in update.rows:
+            self.servers.pop(box.number, None)
             if listing.health is not api.Health.GONE:
-                self.boxes[box.number] = box
-        self.router.fleet(kind, (listing for _, listing in change.rows))
-        self.media_servers.follow(self.boxes)
+                self.servers[box.number] = box
+        self.router.update_fleet(kind, (listing for _, listing in update.rows))
+        self.media_servers.follow(self.servers)
         self.log.info(
             "list {seq}: {rows} boxes changed, {boxes} listed",
-            seq=change.seq,
-            rows=len(change.rows),
-            boxes=len(self.boxes),
+            seq=update.seq,
+            rows=len(update.rows),
+            boxes=len(self.servers),
         )
 
     def _all_draining(self, change: ListUpdate) -> ListUpdate:
@@ -330,7 +343,7 @@
         self.log.warn(
             "list {seq} is empty: nothing new is sent to the {boxes} servers known",
             seq=change.seq,
-            boxes=len(self.boxes),
+            boxes=len(self.servers),
         )
         listings = self.router.listings
         return replace(
@@ -338,7 +351,7 @@
             full=False,
             rows=tuple(
                 (box, replace(listings[number], health=api.Health.DRAINING))
-                for number, box in self.boxes.items()
+                for number, box in self.servers.items()
                 if number in listings
             ),
         )
@@ -369,31 +382,31 @@
         """SIGTERM: go on taking what still comes, answer all of it, then end."""
         if self.shutdown.phase is not Phase.SERVING:
             return
-        for part in self.parts:
-            part.told_to_end()
-        if self.operation is not None:
-            self.operation.told_to_end()
-        self.shutdown.begin(shared_listener=self.config.listener is not None)
+        for part in self.components:
+            part.begin_shutdown()
+        if self.operations is not None:
+            self.operations.begin_shutdown()
+        self.shutdown.begin(shared_listener=self.config.listener_fd is not None)
 
     @property
     def stopping(self) -> bool:
         """Whether SIGTERM has come."""
         return self.shutdown.phase is not Phase.SERVING
 
-    def _longest_ms(self) -> float:
+    def _max_wait_ms(self) -> float:
         """The longest that a client waits for an answer."""
         return max((to_ms(x.deadline_us) for x in self.config.settings.classes), default=0.0)
 
     def _listeners(self) -> list[Any]:
-        return [port for port in (self.port, *self.web_ports) if port is not None]
+        return [port for port in (self.rtsp_listener, *self.hls_listeners) if port is not None]
 
-    def _nothing_listens(self) -> None:
-        if self.gate is not None:
-            self.gate.close()
+    def _listeners_closed(self) -> None:
+        if self.admission is not None:
+            self.admission.close()
 
     def _ended(self) -> None:
-        if self.operation is not None:
-            self.operation.ended()
+        if self.operations is not None:
+            self.operations.ended()
 
 
 def serve(config: Config, site: Site) -> int:
--- a/cloverhinge/operations/admin.py
+++ b/cloverhinge/operations/admin.py
@@ -38,16 +38,16 @@
     def load(limit: Any) -> float | None:
         return None if limit.load is None else round(limit.load, 3)
 
-    standing = [request for request in router.requests if request.state is State.STANDS]
-    shown = sorted(standing, key=lambda x: x.taken_ms)[:SESSIONS_MOST]
+    standing = [request for request in router.requests if request.state is State.ESTABLISHED]
+    shown = sorted(standing, key=lambda x: x.received_ms)[:SESSIONS_MOST]
     return {
         "name": name,
         "up_s": round((now - started_ms) / 1000.0, 1),
-        "open": router.open,
+        "open": router.open_requests,
         "standing": len(standing),
         "plays": plays,
-        "counters": router.counters.told(),
-        "broken": dict(invariants.broken),
+        "counters": router.counters.as_status(),
+        "broken": dict(invariants.violations),
         "certificate": certificate,
         "clients": clients,
         "boxes": [
@@ -55,7 +55,7 @@
                 "name": box.name,
                 "address": f"{box.host}:{box.port}",
                 "health": router.listings[number].health.value if number in router.listings else "gone",
-                "sessions": len(router.standing.get(number, {})),
+                "sessions": len(router.established.get(number, {})),
                 "link": load(servers[number].link) if number in servers else None,
                 "uplink": load(servers[number].uplink) if number in servers else None,
                 "connected": number in media_servers.pools and bool(media_servers.pools[number].connections),
@@ -64,12 +64,12 @@
         ],
         "sessions": [
             {
-                "id": request.ask.name,
-                "class": request.ask.class_name,
-                "title": request.ask.title,
+                "id": request.set_up.session_id,
+                "class": request.set_up.class_name,
+                "title": request.set_up.title,
                 "box": boxes[request.server].name if request.server in boxes else "?",
                 "rung": request.rung,
-                "age_s": round((now - request.taken_ms) / 1000.0, 1),
+                "age_s": round((now - request.received_ms) / 1000.0, 1),
             }
             for request in shown
         ],
--- a/cloverhinge/operations/command_server.py
+++ b/cloverhinge/operations/command_server.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import ServerFactory, connectionDone
 from twisted.python.failure import Failure
 
-from cloverhinge.core.deadlines import Deadlines, Key
+from cloverhinge.core.deadlines import DeadlineKey, Deadlines
 from cloverhinge.net.buffered import BufferedReceiver
 from cloverhinge.operations.commands import LINE_MOST, no
 
@@ -23,7 +23,7 @@
     def __init__(self, desk: Desk) -> None:
         super().__init__()
         self.desk = desk
-        self.idle: Key | None = None
+        self.idle: DeadlineKey | None = None
 
     def connectionMade(self) -> None:
         super().connectionMade()
--- a/cloverhinge/operations/component.py
+++ b/cloverhinge/operations/component.py
@@ -12,7 +12,7 @@
 from cloverhinge.core.clock import to_us
 from cloverhinge.core.deadlines import Deadlines
 from cloverhinge.core.router import Router
-from cloverhinge.decision.upgrade_overlap import known, seats_elsewhere, share, take_over
+from cloverhinge.decision.upgrade_overlap import divide_traffic, export_learned, import_learned, import_seats
 from cloverhinge.discovery.updates import server_number
 from cloverhinge.operations import commands as command_lines
 from cloverhinge.operations.command_server import CALLERS_MOST, Desk
@@ -74,7 +74,7 @@
     def serving(self) -> None:
         self._enter(Phase.SERVING)
 
-    def told_to_end(self) -> None:
+    def begin_shutdown(self) -> None:
         self._enter(Phase.ENDING)
 
     def ended(self) -> None:
@@ -113,8 +113,8 @@
         avoided = sum(
             1
             for number in router.listings
-            if number in router.left_out
-            or (number in servers and servers[number].distrusted_until_us > now_us)
+            if number in router.maintenance
+            or (number in servers and servers[number].suspect_until_us > now_us)
         )
         return Figures(router.counters.tallies, len(router.requests), len(router.listings), avoided)
 
@@ -137,9 +137,9 @@
     def _obey(self, changed: dict[str, bool]) -> None:
         for name, out in changed.items():
             if out:
-                self.router.leave_out(server_number(name), self.bans.records[name].at_ms)
+                self.router.start_maintenance(server_number(name), self.bans.records[name].at_ms)
             else:
-                self.router.put_back(server_number(name))
+                self.router.end_maintenance(server_number(name))
             self.log.info("box {box}: {what}", box=name, what="left out by hand" if out else "put back")
 
     def _merge(self) -> None:
@@ -155,15 +155,15 @@
         others, router = beside.others(), self.router
         if others or not self.told:
             self.told = True
-            beside.tell(encode(self.phase, known(router.controller)))
+            beside.tell(encode(self.phase, export_learned(router.controller)))
         for other in others:
             if other is not None and other.known.servers:
-                take_over(router.controller, to_us(router.clock.now()), other.known)
-        seats_elsewhere(router.controller, (x.known for x in others if x is not None))
+                import_learned(router.controller, to_us(router.clock.now()), other.known)
+        import_seats(router.controller, (x.known for x in others if x is not None))
         shared = parts(self.phase, (x.phase for x in others if x is not None))
         if shared != self.parts:
             self.parts = shared
-            share(router.controller, router.settings, shared)
+            divide_traffic(router.controller, router.settings, shared)
             self.shared(shared)
             self.log.info(
                 "{name}: {parts} in this router's place",
--- a/cloverhinge/operations/overlap.py
+++ b/cloverhinge/operations/overlap.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cloverhinge.decision.upgrade_overlap import Known
+from cloverhinge.decision.upgrade_overlap import LearnedState
 from cloverhinge.operations.file_formats import read
 
 TOLD_MOST = 512 * 1024  # bytes of what a process tells
@@ -26,10 +26,10 @@
 
     form: Literal["router 1"]
     phase: Phase
-    known: Known
+    known: LearnedState
 
 
-def encode(phase: Phase, known: Known) -> bytes:
+def encode(phase: Phase, known: LearnedState) -> bytes:
     return msgspec.json.encode(Told("router 1", phase, known))
 
 
