--- a/cloverhinge/ownership/component.py
+++ b/cloverhinge/ownership/component.py
@@ -15,13 +15,13 @@
 from twisted.logger import Logger
 
 from cloverhinge.core.clock import Clock
-from cloverhinge.core.deadlines import Deadlines, Key
-from cloverhinge.core.model import Ask, Attempt, Boxes, Cause, Request, State, Viewer
+from cloverhinge.core.deadlines import DeadlineKey, Deadlines
+from cloverhinge.core.model import Attempt, Cause, ClientPort, Request, ServerPort, SetUpRequest, State
 from cloverhinge.core.router import Router
 from cloverhinge.decision.interface import Effect
-from cloverhinge.members.core import Carried, Changed, Voided, trim
-from cloverhinge.members.transport import Event, Link
-from cloverhinge.members.wire import Bad
+from cloverhinge.members.core import ComponentMessageReceived, IncarnationVoided, MemberChanged, evict_oldest
+from cloverhinge.members.transport import Event, MembershipTransport
+from cloverhinge.members.wire import MessageError
 from cloverhinge.members.wire import State as MemberState
 from cloverhinge.ownership import core, model
 from cloverhinge.ownership.model import Verdict
@@ -76,7 +76,7 @@
     def __init__(
         self,
         site: CustodySite,
-        members: Link,
+        members: MembershipTransport,
         router: Router,
         clock: Clock,
         deadlines: Deadlines,
@@ -89,7 +89,7 @@
         self.clock, self.deadlines, self.seed = clock, deadlines, seed
         self.wires: dict[str, Wire] = {}
         self.lasts_ms = LASTS_MS
-        self.core: core.Custody
+        self.core: core.OwnershipCore
         self._count = 0
         self._asked: dict[int, Callable[[Verdict, Work | None], None]] = {}
         self._telling: dict[str, tuple[Request, bytes]] = {}  # paid answers that wait to be kept
@@ -99,7 +99,7 @@
         self.unkept: OrderedDict[str, None] = OrderedDict()  # served without keepers
         self._sure: tuple[Request | None, bool] = (None, False)  # of the last one that ended
         self._adopting = False
-        self._flushing: Key | None = None
+        self._flushing: DeadlineKey | None = None
         self._fresh: dict[str, Request] = {}  # repeatable ones that no keeper knows yet
         self._changed = True
         self._room_ms = -1e12
@@ -112,7 +112,7 @@
         self.lasts_ms = max(self.lasts_ms, lasts_ms)
 
     def start(self) -> None:
-        own = Member(self.members.name, self.members.members.run, self.members.site.site)
+        own = Member(self.members.name, self.members.membership.run, self.members.site.site)
         rules = model.Rules(
             self.site.keepers, self.site.lease_ms, self.site.routers, self.lasts_ms, self.lasts_ms
         )
@@ -122,20 +122,22 @@
             reactor = self.members.reactor
             self.shelf = Shelf(self.store, own, reactor.callFromThread, self._durable, self._failed)
             reactor.addSystemEventTrigger("after", "shutdown", self.shelf.close)
-        self.core = core.Custody(own, rules, self.seed, None if self.shelf is None else self.shelf.recall)
-        self.router.custody = self
-        self.members.hearers[self.key] = self._heard
-        self.members.watchers.append(self._watch)
+        self.core = core.OwnershipCore(
+            own, rules, self.seed, None if self.shelf is None else self.shelf.recall
+        )
+        self.router.ownership = self
+        self.members.receivers[self.key] = self._heard
+        self.members.listeners.append(self._watch)
         self._tick()
 
     def _durable(self, number: int, mark: Mark) -> None:
-        self._act(self.core.durable(self.clock.now(), number, mark))
+        self._act(self.core.on_durable(self.clock.now(), number, mark))
 
     def _failed(self, why: str) -> None:
         self.log.error("{name}: store: {why}", name=self.members.name, why=why)
-        self._act(self.core.failed(self.clock.now(), why))
+        self._act(self.core.on_store_failure(self.clock.now(), why))
 
-    def told_to_end(self) -> None:
+    def begin_shutdown(self) -> None:
         self._act(self.core.leave(self.clock.now()))
 
     @property
@@ -143,20 +145,20 @@
         return not self.core.idle
 
     def status(self) -> dict[str, Any]:
-        counters, roster = asdict(self.core.counters), self.core.rosters.roster
+        counters, roster = asdict(self.core.counters), self.core.replica_sets.current
         return {
-            "owned": len(self.core.held),
-            "kept": len(self.core.keeper.slots),
+            "owned": len(self.core.owned),
+            "kept": len(self.core.replica.slots),
             **counters,
             "roster": None
             if roster is None
             else {
                 "number": roster.number,
                 "members": [x.name for x in roster.members],
-                "votes": self.core.rosters.active,
-                "holes": len(self.core.rosters.holes),
+                "votes": self.core.replica_sets.active,
+                "holes": len(self.core.replica_sets.holes),
             },
-            "trying": len(self.core.tries),
+            "trying": len(self.core.acquisitions),
             "store": None if self.shelf is None else self.shelf.status(),
         }
 
@@ -164,7 +166,7 @@
         """What this router knows of a piece of work, by the name that its front gives it."""
         ids = [f"{letter}/{wire.own_name(text)}" for letter, wire in self.wires.items()]
         for id in ids:
-            work = self.core.look(id)
+            work = self.core.known_work(id)
             if work is not None:
                 kept = read(work) or Kept("", "", "")
                 server = self.router.listings.get(kept.server)
@@ -174,32 +176,35 @@
                     "phase": work.phase.name.lower(),
                     "owner": name_of(work.owner),
                     "epoch": work.epoch,
-                    "past": list(map(name_of, work.past)),
-                    "keepers": list(map(name_of, self.core.keepers(id))),
+                    "past": list(map(name_of, work.past_owners)),
+                    "keepers": list(map(name_of, self.core.replicas_of(id))),
                     "class": kept.class_name,
                     "title": kept.title,
                     "session": kept.name,
                     "box": box,
-                    "mine": id in self.core.held,
+                    "mine": id in self.core.owned,
                 }
-        return {"found": False, "keepers": sorted({name_of(x) for id in ids for x in self.core.keepers(id)})}
+        return {
+            "found": False,
+            "keepers": sorted({name_of(x) for id in ids for x in self.core.replicas_of(id)}),
+        }
 
     # Membership's side
 
     def _watch(self, event: Event) -> None:
-        if isinstance(event, Changed | Voided):
+        if isinstance(event, MemberChanged | IncarnationVoided):
             self._changed = True
 
-    def _heard(self, carried: Carried) -> None:
-        record = self.members.members.table.records.get(carried.name)
+    def _heard(self, carried: ComponentMessageReceived) -> None:
+        record = self.members.membership.table.records.get(carried.name)
         member = Member(carried.name, carried.run, "" if record is None else record.site)
         try:
-            self._act(self.core.heard(self.clock.now(), member, carried.body))
-        except Bad as error:
-            self.members.bad(error.kind, carried.name, str(error))
+            self._act(self.core.receive(self.clock.now(), member, carried.body))
+        except MessageError as error:
+            self.members.report_trouble(error.kind, carried.name, str(error))
 
     def _tick(self) -> None:
-        now, members = self.clock.now(), self.members.members
+        now, members = self.clock.now(), self.members.membership
         if members.joined and (self._changed or now - self._room_ms >= ROOM_MS):
             self._changed, self._room_ms = False, now
             alive = {
@@ -207,9 +212,11 @@
                 for x in members.table.records.values()
                 if x.state is MemberState.ALIVE
             }
-            room = {x.who: self._room_of(record.facts) for x, record in alive.items()}
-            self.core.view({x: record.incarnation for x, record in alive.items()}, members.lived_before, room)
-        self._act(self.core.due(now))
+            room = {x.member_id: self._room_of(record.facts) for x, record in alive.items()}
+            self.core.update_members(
+                {x: record.incarnation for x, record in alive.items()}, members.had_earlier_run, room
+            )
+        self._act(self.core.tick(now))
         for id, (attempt, answer) in list(self._answers.items()):
             request = attempt.request
             if request.attempt is not attempt or request.state is not State.OPEN:
@@ -233,16 +240,16 @@
         for action in actions:
             match action:
                 case model.Send(to, body):
-                    self.members.carry(to.name, to.run, self.key, body)
+                    self.members.send_component_message(to.name, to.run, self.key, body)
                 case model.Answer(number, verdict, work):
                     call = self._asked.pop(number, None)
                     if call is not None:
                         call(verdict, work)
-                case model.Took(id, work, found):
+                case model.Acquired(id, work, found):
                     self._took(id, work, found)
-                case model.Lost(id, _, over):
+                case model.OwnershipLost(id, _, over):
                     self._lost(id, over)
-                case model.Kept(id, phase):
+                case model.Replicated(id, phase):
                     if phase is Phase.STANDS:
                         self._tell(id)
                     self._released(id)
@@ -251,9 +258,9 @@
                 case Persist():
                     if self.shelf is not None:
                         self.shelf.put(action)
-                case model.Say(text):
+                case model.LogMessage(text):
                     self.log.info("{name}: custody: {text}", name=self.members.name, text=text)
-        if self.core.waiting:
+        if self.core.has_outgoing:
             self._flush_soon()
 
     def _flush_soon(self) -> None:
@@ -303,7 +310,7 @@
 
     def change(self, id: str, phase: Phase) -> None:
         """What the front keeps of it stays as it is."""
-        held = self.core.held.get(id)
+        held = self.core.owned.get(id)
         if held is not None:
             self._act(self.core.update(self.clock.now(), id, phase, held.work.body))
 
@@ -312,37 +319,37 @@
 
     @staticmethod
     def _id(request: Request) -> str:
-        return request.ask.record or f"{BY_NAME}/{request.ask.name}"
+        return request.set_up.record_id or f"{BY_NAME}/{request.set_up.session_id}"
 
     @staticmethod
     def _paid(request: Request) -> bool:
-        return request.kind.effect is not Effect.REPEATABLE
+        return request.service_class.effect is not Effect.REPEATABLE
 
     @staticmethod
     def _kept(request: Request, server: int | None, answer: bytes = b"") -> Kept:
         """`server`: where it stands, or may; None: nowhere."""
-        ask, at = request.ask, -1 if server is None else server
+        ask, at = request.set_up, -1 if server is None else server
         return Kept(
             ask.class_name,
             ask.title,
-            ask.viewer,
-            ask.name if at >= 0 else "",
+            ask.viewer_id,
+            ask.session_id if at >= 0 else "",
             at,
             request.rung,
             ask.first_cell,
             ask.copies,
             ask.ceiling,
             ask.length_ms,
-            ask.peer,
-            answer if len(answer) <= ANSWER_MOST and not ask.record else b"",
+            ask.peer_address,
+            answer if len(answer) <= ANSWER_MOST and not ask.record_id else b"",
         )
 
     # The core's `Custody`
 
-    def intend(self, attempt: Attempt) -> None:
+    def prepare(self, attempt: Attempt) -> None:
         request, id = attempt.request, self._id(attempt.request)
         kept = self._kept(request, attempt.server)
-        if request.ask.record or id in self.core.held or attempt.number > 0:
+        if request.set_up.record_id or id in self.core.owned or attempt.number > 0:
             self._update(id, Phase.INTENT, kept)  # it is this router's; its box is told after the fact
             self.router.send(attempt)
         elif not self._paid(request):
@@ -366,33 +373,33 @@
         kept = None if work is None else read(work)
         if verdict is Verdict.NEW:
             self.router.send(attempt)
-        elif verdict is Verdict.TAKEN and kept is not None:
+        elif verdict is Verdict.TAKEN_OVER and kept is not None:
             self._adopting = True  # the record goes on; only the request that came for it ends
             try:
                 self.router.resume(request, kept.server, kept.answer)
             finally:
                 self._adopting = False
-        elif verdict is Verdict.UNKEPT and self.site.serve:
+        elif verdict is Verdict.UNREPLICATED and self.site.serve:
             self.note(self.unkept, self._id(request))
             self.router.send(attempt)
         else:
-            self.router.unkept(request, failed=verdict in (Verdict.FINAL, Verdict.TAKEN))
+            self.router.conclude_unsent(request, failed=verdict in (Verdict.FINAL, Verdict.TAKEN_OVER))
 
     def _copied(self, request: Request, verdict: Verdict, work: Work | None) -> None:
         """Repeatable work, or a session that came here standing, is this router's by now."""
         id = self._id(request)
-        if verdict not in (Verdict.NEW, Verdict.TAKEN) or work is None:
+        if verdict not in (Verdict.NEW, Verdict.TAKEN_OVER) or work is None:
             return
         kept = read(work)
         if (
             kept is not None
             and kept.server >= 0
             and kept.server != request.server
-            and kept.name == request.ask.name
+            and kept.name == request.set_up.session_id
             and (request.attempt is None or request.attempt.server != kept.server)
         ):
             self.wires[id[0]].let_go(kept)  # what an earlier owner had under way
-        if request.state is State.STANDS:
+        if request.state is State.ESTABLISHED:
             self._update(id, Phase.STANDS, self._kept(request, request.server))
         elif request.state is State.OVER:
             self._update(id, Phase.OVER, self._kept(request, None))
@@ -401,26 +408,26 @@
         request, id = attempt.request, self._id(attempt.request)
         if not self._paid(request):
             return True
-        return self.core.may_act(id, self.clock.now()) or id not in self.core.held and id in self.unkept
+        return self.core.may_act(id, self.clock.now()) or id not in self.core.owned and id in self.unkept
 
-    def certain(self, attempt: Attempt, answer: bytes) -> bool:
+    def may_establish(self, attempt: Attempt, answer: bytes) -> bool:
         request, id = attempt.request, self._id(attempt.request)
-        if not self._paid(request) or id not in self.core.held or self.core.may_act(id, self.clock.now()):
+        if not self._paid(request) or id not in self.core.owned or self.core.may_act(id, self.clock.now()):
             return True
         if len(self._answers) < PENDING_MOST:
             self._answers[id] = attempt, answer
         return False
 
-    def stands(self, request: Request, answer: bytes) -> None:
+    def established(self, request: Request, answer: bytes) -> None:
         id, kept = self._id(request), self._kept(request, request.server, answer)
-        if id not in self.core.held:
-            request.viewer.served(answer)
-            if id not in self.core.tries and id not in self._fresh:
+        if id not in self.core.owned:
+            request.client.served(answer)
+            if id not in self.core.acquisitions and id not in self._fresh:
                 self._copy(request)
             return
         if not self._paid(request) or len(self._telling) >= PENDING_MOST:
             self._update(id, Phase.STANDS, kept)
-            request.viewer.served(answer)
+            request.client.served(answer)
             return
         self._telling[id] = request, answer
         self.deadlines.after(KEPT_MS, lambda: self._tell(id, request))
@@ -442,34 +449,34 @@
         told = self._telling.get(id)
         if told is not None and only in (None, told[0]):
             del self._telling[id]
-            told[0].viewer.served(told[1])
+            told[0].client.served(told[1])
 
-    def carried(self, request: Request) -> None:
+    def adopted(self, request: Request) -> None:
         if not self._adopting:
             self._copy(request)
 
-    def resized(self, request: Request) -> None:
+    def rung_changed(self, request: Request) -> None:
         id = self._id(request)
-        held = self.core.held.get(id)
+        held = self.core.owned.get(id)
         kept = None if held is None else read(held.work)
         if kept is not None:
             kept.rung = request.rung
             self._update(id, Phase.STANDS, kept)
 
-    def over(self, request: Request) -> None:
+    def ended(self, request: Request) -> None:
         if self._adopting:
             return
         id = self._id(request)
         self._tell(id, request)
         self._answers.pop(id, None)
         self._fresh.pop(id, None)
-        held = self.core.held.get(id)
+        held = self.core.owned.get(id)
         self._sure = request, held is None or self.core.may_act(id, self.clock.now())
-        if held is None or held.to:
+        if held is None or held.hand_over_to:
             return
         if request.server is None and self._paid(request) and request.may_have_run:
             phase = Phase.FAILED
-        elif request.ask.record and not (request.server is not None and self._paid(request)):
+        elif request.set_up.record_id and not (request.server is not None and self._paid(request)):
             phase = Phase.INTENT  # the play stays, and may be set up again
         else:
             phase = Phase.OVER
@@ -479,15 +486,15 @@
         """Guards a successor's session: this router may have slept, or be cut off, and not know of it."""
         about, sure = self._sure
         if about is request and sure:
-            request.boxes.release(request, cause)
+            request.servers.release(request, cause)
             return
         self._releases[self._id(request)] = request, cause
-        trim(self._releases, PENDING_MOST)
+        evict_oldest(self._releases, PENDING_MOST)
 
     def _released(self, id: str) -> None:
         told = self._releases.pop(id, None)
         if told is not None:
-            told[0].boxes.release(*told)
+            told[0].servers.release(*told)
 
     # Taking and giving
 
@@ -520,19 +527,19 @@
         abandoned = (
             work.phase is Phase.INTENT
             and not work.paid
-            and id not in self.core.tries
+            and id not in self.core.acquisitions
             and (wire is None or not wire.wanted(id))
         )
         if why or abandoned:
             self._act(self.core.update(self.clock.now(), id, Phase.OVER, work.body))
 
-    def carry(self, ask: Ask, kept: Kept, viewer: Viewer, boxes: Boxes) -> Request | None:
+    def carry(self, ask: SetUpRequest, kept: Kept, viewer: ClientPort, boxes: ServerPort) -> Request | None:
         """For fronts that adopt: the session goes into the core, without a claim of its own."""
         if kept.class_name not in self.router.classes:
             return None
         self._adopting = True
         try:
-            request = self.router.carry(ask, kept.server, viewer, boxes)
+            request = self.router.adopt(ask, kept.server, viewer, boxes)
         finally:
             self._adopting = False
         if request is not None:
@@ -546,16 +553,16 @@
         request = None if wire is None else wire.held(id)
         if request is not None:
             self._tell(id, request)  # what waits to be told of it is answered from here still
-            self.note(self.handed, request.ask.name)
+            self.note(self.handed, request.set_up.session_id)
         if wire is not None:
             wire.lost(id)
         if request is not None:
             server = request.server
-            self.router.hand_on(request)
+            self.router.hand_over(request)
             if over and server is not None and wire is not None:
                 wire.let_go(self._kept(request, server))
 
     @staticmethod
     def note(table: OrderedDict[str, None], name: str) -> None:
         table[name] = None
-        trim(table, HANDED_MOST)
+        evict_oldest(table, HANDED_MOST)
--- a/cloverhinge/ownership/core.py
+++ b/cloverhinge/ownership/core.py
@@ -15,72 +15,76 @@
 import msgspec
 from sortedcontainers import SortedDict
 
-from cloverhinge.members.core import trim
+from cloverhinge.members.core import evict_oldest
 from cloverhinge.ownership import placement, register, wire
 from cloverhinge.ownership.model import (
-    RESEND_MOST_MS,
+    MAX_RESEND_MS,
     RESEND_MS,
+    Acquired,
+    Acquisition,
     Action,
     Answer,
     Closed,
     Counters,
-    Held,
-    Kept,
-    Lost,
+    LogMessage,
+    OwnedRecord,
+    OwnershipLost,
     Peer,
+    Replicated,
     Rules,
-    Say,
     Send,
     Stage,
-    Took,
-    Try,
     Verdict,
 )
-from cloverhinge.ownership.persistence import Recall, Stands
-from cloverhinge.ownership.register import NONE, Ballot, Phase, Slot, Work
-from cloverhinge.ownership.replica import Keeper, above, intent
-from cloverhinge.ownership.replica_sets import Rosters
-from cloverhinge.ownership.wire import Member, Roster, Why, name_of
+from cloverhinge.ownership.persistence import ReplicaPersistence, StoreState
+from cloverhinge.ownership.register import NO_BALLOT, Ballot, Phase, Slot, Work
+from cloverhinge.ownership.replica import Replica, next_ballot, prepared_record
+from cloverhinge.ownership.replica_sets import ReplicaSetManager
+from cloverhinge.ownership.wire import Member, RefusalReason, ReplicaSet, name_of
 from cloverhinge.store import NO_MARK, Mark
 from cloverhinge.store import Word as JudgeWord
 
 TICK_MS = 25.0  # pace of looking: what was lost on its way is sent again after two of them
-GRANT_SHARE = 0.9  # of a lease that its owner counts on: clocks may differ by a tenth before it errs
-RENEWALS = 3.0  # tries in a lease's time, so that two in a row may be lost
-HEARD = 2.0  # times a lease: who was not heard for so long takes no part
-BACKOFF_MS, BACKOFF_MOST_MS = 30.0, 960.0  # at most, by lot, before a higher ballot; twice as long each time
-HAND_MS = 200.0  # an owner that says nothing for so long is asked no more: its lease decides
-ASK_AGAIN_MS = 50.0  # while a set-up that a viewer came for is under way at its owner
+USABLE_LEASE_SHARE = 0.9  # of a lease that its owner counts on: clocks may differ by a tenth before it errs
+RENEWALS_PER_LEASE = 3.0  # tries in a lease's time, so that two in a row may be lost
+SILENT_AFTER_LEASES = 2.0  # times a lease: who was not heard for so long takes no part
+BACKOFF_MS, MAX_BACKOFF_MS = 30.0, 960.0  # at most, by lot, before a higher ballot; twice as long each time
+HAND_OVER_TIMEOUT_MS = 200.0  # an owner that says nothing for so long is asked no more: its lease decides
+HAND_OVER_RETRY_MS = 50.0  # while a set-up that a viewer came for is under way at its owner
 HOLE_WAIT_MS = 400.0  # a keeper that lost others' memory waits so long for owners to write again
-BACKUP_MS = 1200.0  # the next keeper takes over what the first one should have
-LOOK_MS = 250.0  # between looks for records whose owner is gone
-ORPHANS_TICK = 25  # taken up in a tick: a thousand a second
-MORE_MS = 2000.0  # a keeper that knows of more records than their owner for so long is asked for them
-ORPHAN_MS = 5000.0  # for one try at such a record
-REWRITES_TICK = 100  # records written again in a tick: 4,000 a second
-UNKNOWN = 1 << 32  # epoch of a verdict on what is unknown: above that of any owner who comes back
-HELD_MOST = 65_536  # records owned
-TRIES_MOST = 4096
-GIFTS_MOST, GIFT_MS = 4096, 5000.0  # hand-overs told again until the other thanks
-IDLE_MOST = 4096  # one that is forgotten is taken for one that was acted on
-SENT_KEPT = 8  # questions for a lease whose answers still count
-
-
-class Custody:
-    def __init__(self, own: Member, rules: Rules, seed: int, recall: Recall | None = None) -> None:
+BACKUP_TAKEOVER_DELAY_MS = 1200.0  # the next keeper takes over what the first one should have
+OWNERLESS_SCAN_MS = 250.0  # between looks for records whose owner is gone
+TAKEOVERS_PER_TICK = 25  # taken up in a tick: a thousand a second
+SURPLUS_QUERY_DELAY_MS = (
+    2000.0  # a keeper that knows of more records than their owner for so long is asked for them
+)
+TAKEOVER_TIMEOUT_MS = 5000.0  # for one try at such a record
+REWRITES_PER_TICK = 100  # records written again in a tick: 4,000 a second
+UNKNOWN_EPOCH = 1 << 32  # epoch of a verdict on what is unknown: above that of any owner who comes back
+MAX_OWNED = 65_536  # records owned
+MAX_ACQUISITIONS = 4096
+MAX_PENDING_HAND_OVERS, HAND_OVER_EXPIRY_MS = 4096, 5000.0  # hand-overs told again until the other thanks
+MAX_UNUSED = 4096  # one that is forgotten is taken for one that was acted on
+MAX_PENDING_REQUESTS = 8  # questions for a lease whose answers still count
+
+
+class OwnershipCore:
+    def __init__(
+        self, own: Member, rules: Rules, seed: int, recall: ReplicaPersistence | None = None
+    ) -> None:
         """`recall`: of this router's store, where it has one."""
-        self.own, self.rules, self.recall = own, rules, recall
-        self.who = own.who
+        self.own, self.rules, self.persistence = own, rules, recall
+        self.own_id = own.member_id
         self.random = random.Random(seed)
-        self.keeper = Keeper(rules.lease_ms, rules.lasts_ms)
-        self.rosters = Rosters(own, rules.routers, rules.hole_ms, self.random.getrandbits(62))
-        self.peers: dict[str, Peer] = {self.who: Peer(own)}
-        self.alive: dict[str, Member] = {self.who: own}  # as membership has it
+        self.replica = Replica(rules.lease_ms, rules.retention_ms)
+        self.replica_sets = ReplicaSetManager(own, rules.routers, rules.hole_ms, self.random.getrandbits(62))
+        self.peers: dict[str, Peer] = {self.own_id: Peer(own)}
+        self.alive: dict[str, Member] = {self.own_id: own}  # as membership has it
         self.runs: dict[str, tuple[int, int]] = {}  # by name: run and incarnation
-        self.lived_before = False
-        self.room: Mapping[str, float] = {}
-        self.held: dict[str, Held] = {}
-        self.tries: dict[str, Try] = {}
+        self.earlier_run_known = False
+        self.spare_capacity: Mapping[str, float] = {}
+        self.owned: dict[str, OwnedRecord] = {}
+        self.acquisitions: dict[str, Acquisition] = {}
         self.counters = Counters()
         self.leaving = False
         self._out: list[Action] = []
@@ -90,12 +94,12 @@
         self._unwritten: dict[str, None] = {}  # records that some keeper does not hold yet, in order
         self._orphans: SortedDict[tuple[float, str], None] = SortedDict()
         self._queued: set[str] = set()
-        self._gifts: OrderedDict[str, tuple[str, wire.Given, float, float]] = OrderedDict()
-        self._tells: dict[tuple[str, int], tuple[wire.Tell, float]] = {}
+        self._gifts: OrderedDict[str, tuple[str, wire.HandOver, float, float]] = OrderedDict()
+        self._tells: dict[tuple[str, int], tuple[wire.TransferPart, float]] = {}
         self._parts: dict[str, set[int]] = {}
         self._kept_by: Counter[str] = Counter()  # records of this router's, by who should keep them
         self._idle: OrderedDict[str, None] = OrderedDict()  # intents written and given up before any act
-        self._last: Ballot = NONE
+        self._last: Ballot = NO_BALLOT
         self._seq = 0
         self._looked_ms = -1e12
         self._purged = True
@@ -104,80 +108,86 @@
         self._votes_from = 0  # the rows that have to be safe before others count on this one's votes
         self._unjoined = False  # what was brought has not come into a roster of this run's yet
         if recall is not None:
-            self.keeper.changed = recall.changed
-            self.rosters.mute = not recall.keeps
-            if recall.why:
-                self._out.append(Say(f"keeps nothing for others: {recall.why}"))
+            self.replica.changed_ids = recall.changed_ids
+            self.replica_sets.vote_suspended = not recall.usable
+            if recall.unusable_reason:
+                self._out.append(LogMessage(f"keeps nothing for others: {recall.unusable_reason}"))
 
     # What may be asked at any time
 
     def may_act(self, id: str, now: float) -> bool:
         """Whether this router owns the record at this moment, as a majority of its keepers has it."""
-        held = self.held.get(id)
-        if held is None or held.work.owner != self.who:
+        held = self.owned.get(id)
+        if held is None or held.work.owner != self.own_id:
             return False
-        sure = sum(1 for x in held.holds if self.peers[x].until_ms > now)
-        return sure >= register.majority(len(held.keepers))
+        sure = sum(1 for x in held.holders if self.peers[x].lease_until_ms > now)
+        return sure >= register.majority(len(held.replicas))
 
-    def look(self, id: str) -> Work | None:
+    def known_work(self, id: str) -> Work | None:
         """What is known of it here."""
-        if id in self.held:
-            return self.held[id].work
-        slot = self.keeper.slots.get(id)
+        if id in self.owned:
+            return self.owned[id].work
+        slot = self.replica.slots.get(id)
         return None if slot is None else slot.work
 
-    def keepers(self, id: str) -> tuple[str, ...]:
-        roster = self.rosters.roster
-        return () if roster is None else placement.keepers(id, roster.members, self.rules.keepers + 1)
+    def replicas_of(self, id: str) -> tuple[str, ...]:
+        roster = self.replica_sets.current
+        return (
+            ()
+            if roster is None
+            else placement.choose_replicas(id, roster.members, self.rules.tolerated_losses + 1)
+        )
 
     @property
     def idle(self) -> bool:
         """Nothing is on its way to another owner, and nothing of this router's has to be."""
-        return not self._gifts and not any(x.to for x in self.held.values())
+        return not self._gifts and not any(x.hand_over_to for x in self.owned.values())
 
     # Events
 
-    def view(self, members: Mapping[Member, int], lived_before: bool, room: Mapping[str, float]) -> None:
+    def update_members(
+        self, members: Mapping[Member, int], lived_before: bool, room: Mapping[str, float]
+    ) -> None:
         """Membership has changed, or what is known of the members' room; `members` with incarnations."""
-        self.alive = {x.who: x for x in members}
+        self.alive = {x.member_id: x for x in members}
         self.runs = {x.name: (x.run, incarnation) for x, incarnation in members.items()}
-        self.lived_before, self.room = lived_before, room
+        self.earlier_run_known, self.spare_capacity = lived_before, room
         for who, member in self.alive.items():
             if who not in self.peers:
                 self.peers[who] = Peer(member)
-        roster = self.rosters.roster
-        named = set() if roster is None else {x.who for x in (*roster.members, *roster.sources)}
-        for who in [x for x in self.peers if x not in self.alive and x not in named and x != self.who]:
+        roster = self.replica_sets.current
+        named = set() if roster is None else {x.member_id for x in (*roster.members, *roster.sources)}
+        for who in [x for x in self.peers if x not in self.alive and x not in named and x != self.own_id]:
             del self.peers[who]
-            for held in self.held.values():
+            for held in self.owned.values():
                 held.written.discard(who)
-                held.holds.discard(who)
+                held.holders.discard(who)
 
-    def durable(self, now: float, number: int, mark: Mark) -> list[Action]:
+    def on_durable(self, now: float, number: int, mark: Mark) -> list[Action]:
         """The rows up to that number are on the disk."""
-        if self.recall is not None:
-            for who, item, soon in self.recall.durable(number, mark):
+        if self.persistence is not None:
+            for who, item, soon in self.persistence.on_durable(number, mark):
                 self._post(who, item, soon)
         return self._done(now)
 
-    def failed(self, now: float, why: str) -> list[Action]:
+    def on_store_failure(self, now: float, why: str) -> list[Action]:
         """The store has: what was not safe is never said, and nothing is kept here any more."""
-        if self.recall is not None and self.recall.stands is not Stands.OUT:
-            self.recall.fail(why)
-            self.rosters.mute = True
-            self._out.append(Say(f"keeps nothing for others: {why}"))
+        if self.persistence is not None and self.persistence.state is not StoreState.OUT:
+            self.persistence.fail(why)
+            self.replica_sets.vote_suspended = True
+            self._out.append(LogMessage(f"keeps nothing for others: {why}"))
             self._say_hi(now, at_once=True)
         return self._done(now)
 
-    def due(self, now: float) -> list[Action]:
-        self.keeper.lapse(now)
+    def tick(self, now: float) -> list[Action]:
+        self.replica.expire(now)
         self._judge(now)
         self._pressing = bool(self._outbox)
         self._say_hi(now)
         self._change_rosters(now)
-        for id in [x.id for x in self.tries.values()]:
-            if id in self.tries:
-                self._step(now, self.tries[id])
+        for id in [x.id for x in self.acquisitions.values()]:
+            if id in self.acquisitions:
+                self._step(now, self.acquisitions[id])
         self._rewrite(now)
         self._look_for_orphans(now)
         for id, (to, given, sent, until) in list(self._gifts.items()):
@@ -199,64 +209,66 @@
         id: str,
         paid: bool,
         body: bytes,
-        soon_ms: float,
-        until_ms: float,
-        soon: bool = False,
+        deadline_ms: float,
+        owned_deadline_ms: float,
+        deferrable: bool = False,
     ) -> list[Action]:
         """A viewer came for it; `soon`: he does not wait for it to be kept.
 
         `Answer` follows by `soon_ms`, by `until_ms` where another has it, at once where it is here already.
         """
-        held = self.held.get(id)
-        attempt = self.tries.get(id)
-        if held is not None and not held.to and attempt is None:
-            verdict = Verdict.TAKEN if held.work.phase is Phase.STANDS else Verdict.NEW
+        held = self.owned.get(id)
+        attempt = self.acquisitions.get(id)
+        if held is not None and not held.hand_over_to and attempt is None:
+            verdict = Verdict.TAKEN_OVER if held.work.phase is Phase.STANDS else Verdict.NEW
             if held.work.phase in (Phase.STANDS, Phase.INTENT):
                 self._out.append(Answer(number, verdict, held.work))
                 return self._done(now)
         if attempt is not None:
-            attempt.join(number, soon_ms, until_ms)
+            attempt.join(number, deadline_ms, owned_deadline_ms)
             if attempt.reason in ("orphan", "mine", "find"):
-                attempt.reason, attempt.intent = "claim", intent(self.who, paid, body)
-        elif len(self.tries) >= TRIES_MOST or len(self.held) >= HELD_MOST:
+                attempt.reason, attempt.proposed = "claim", prepared_record(self.own_id, paid, body)
+        elif len(self.acquisitions) >= MAX_ACQUISITIONS or len(self.owned) >= MAX_OWNED:
             self.counters.unkept += 1
-            self._out.append(Answer(number, Verdict.UNKEPT, None))
+            self._out.append(Answer(number, Verdict.UNREPLICATED, None))
         else:
             self._unqueue(id)
-            seen = NONE if held is None else held.ballot
+            seen = NO_BALLOT if held is None else held.ballot
             self._try(
                 now,
-                Try(
+                Acquisition(
                     id,
                     "claim",
-                    intent(self.who, paid, body),
-                    soon_ms,
-                    until_ms,
+                    prepared_record(self.own_id, paid, body),
+                    deadline_ms,
+                    owned_deadline_ms,
                     [number],
                     True,
-                    seen=seen,
-                    soon=soon,
+                    highest_seen=seen,
+                    deferrable=deferrable,
                 ),
             )
         return self._done(now)
 
-    def find(self, now: float, number: int, id: str, soon_ms: float, until_ms: float) -> list[Action]:
+    def find(
+        self, now: float, number: int, id: str, deadline_ms: float, owned_deadline_ms: float
+    ) -> list[Action]:
         """A viewer came for a session that stands, if it does; nothing is claimed where it does not."""
-        attempt = self.tries.get(id)
+        attempt = self.acquisitions.get(id)
         if attempt is not None:
-            attempt.join(number, soon_ms, until_ms)
-        elif len(self.tries) >= TRIES_MOST:
-            self._out.append(Answer(number, Verdict.UNKEPT, None))
+            attempt.join(number, deadline_ms, owned_deadline_ms)
+        elif len(self.acquisitions) >= MAX_ACQUISITIONS:
+            self._out.append(Answer(number, Verdict.UNREPLICATED, None))
         else:
             self._unqueue(id)
-            empty = Work(self.who, 1, Phase.INTENT, False)
-            self._try(now, Try(id, "find", empty, soon_ms, until_ms, [number], False))
+            empty = Work(self.own_id, 1, Phase.INTENT, False)
+            self._try(now, Acquisition(id, "find", empty, deadline_ms, owned_deadline_ms, [number], False))
         return self._done(now)
 
     def update(self, now: float, id: str, phase: Phase, body: bytes) -> list[Action]:
         """What this router owns has changed; nothing where it does not own it any more."""
-        held = self.held.get(id)
-        if held is not None and not held.to and register.owned(held.work):
+        held = self.owned.get(id)
+        if held is not None and not held.hand_over_to and register.active_owner(held.work):
             work = msgspec.structs.replace(held.work, phase=phase, body=body)
             if work != held.work:
                 self._write(now, held, work)
@@ -268,33 +280,37 @@
         """A planned end: all sessions go to the others, each to one drawn by its room."""
         self.leaving = True
         self._say_hi(now, at_once=True)
-        for id in list(self.held):
+        for id in list(self.owned):
             self._leave_behind(now, id)
         return self._done(now)
 
     def _leave_behind(self, now: float, id: str) -> None:
-        held, others = self.held[id], [x for x in self.alive if x != self.who and self._takes_part(x, now)]
-        if others and held.work.phase is Phase.STANDS and not held.to:
-            self._hand(now, held, placement.successor(id, others, self.room))
+        held, others = (
+            self.owned[id],
+            [x for x in self.alive if x != self.own_id and self._takes_part(x, now)],
+        )
+        if others and held.work.phase is Phase.STANDS and not held.hand_over_to:
+            self._hand(now, held, placement.choose_successor(id, others, self.spare_capacity))
 
-    def _hand(self, now: float, held: Held, to: str) -> None:
-        self._out.append(Lost(held.id, to))
-        held.to = to
-        self._write(now, held, register.follows(held.work, to))
+    def _hand(self, now: float, held: OwnedRecord, to: str) -> None:
+        self._out.append(OwnershipLost(held.id, to))
+        held.hand_over_to = to
+        self._write(now, held, register.with_next_owner(held.work, to))
 
-    def heard(self, now: float, member: Member, told: bytes) -> list[Action]:
+    def receive(self, now: float, member: Member, told: bytes) -> list[Action]:
         """Raises Bad where it can't be read."""
         body = wire.decode(told)
-        who = member.who
+        who = member.member_id
         peer = self.peers.get(who)
         if peer is None:
-            if len(self.peers) >= 2 * wire.MEMBERS_MOST:
+            if len(self.peers) >= 2 * wire.MAX_MEMBERS:
                 return []
             peer = self.peers[who] = Peer(member)
-        peer.heard_ms, peer.lineage, peer.number = now, body.lineage, body.number
+        peer.received_ms, peer.lineage, peer.number = now, body.lineage, body.number
         if (
-            self.recall is not None
-            and (told_late := self.recall.note(member.name, Mark(body.generation, body.position))) is not None
+            self.persistence is not None
+            and (told_late := self.persistence.note_mark(member.name, Mark(body.generation, body.position)))
+            is not None
         ):
             self._to(who, told_late)
         for item in body.items:
@@ -305,18 +321,20 @@
 
     def _to(self, who: str, item: wire.Items, soon: bool = False) -> None:
         """`soon`: nobody waits for it, so that it may travel with others."""
-        if self.recall is None or not self.recall.holds(who, item, soon, self.rosters.votes):
+        if self.persistence is None or not self.persistence.hold_back(
+            who, item, soon, self.replica_sets.vote_state
+        ):
             self._post(who, item, soon)
 
     def _post(self, who: str, item: wire.Items, soon: bool) -> None:
-        if who == self.who:
+        if who == self.own_id:
             self._local.append(item)
         else:
             self._outbox.setdefault(who, []).append(wire.pack(item))
             self._pressing = self._pressing or not soon
 
     @property
-    def waiting(self) -> bool:
+    def has_outgoing(self) -> bool:
         """Whether something is to be sent by `flush` soon."""
         return bool(self._outbox)
 
@@ -326,9 +344,9 @@
 
     def _done(self, now: float) -> list[Action]:
         while self._local:
-            self._take(now, self.who, self._local.popleft(), self._roster)
-        if self.recall is not None:
-            rows = self.recall.rows(now, self.keeper, self.rosters.votes)
+            self._take(now, self.own_id, self._local.popleft(), self._roster)
+        if self.persistence is not None:
+            rows = self.persistence.take_rows(now, self.replica, self.replica_sets.vote_state)
             if rows is not None:
                 self._out.append(rows)
         if self._pressing:
@@ -340,73 +358,77 @@
     def _send(self) -> None:
         lineage, number = self._roster
         outbox, self._outbox = self._outbox, {}
-        mark = NO_MARK if self.recall is None else self.recall.said
+        mark = NO_MARK if self.persistence is None else self.persistence.outgoing_mark
         for who, items in outbox.items():
             peer = self.peers.get(who)
             if peer is None:
                 continue
-            for batch in wire.batches(items, lambda x: len(bytes(x)), wire.BATCH_BYTES):
+            for batch in wire.batches(items, lambda x: len(bytes(x)), wire.MAX_BATCH_BYTES):
                 self._out.append(Send(peer.member, wire.encode(lineage, number, batch, mark)))
 
     @property
     def _roster(self) -> tuple[int, int]:
-        return self.rosters.lineage, self.rosters.number
+        return self.replica_sets.lineage, self.replica_sets.number
 
     def _take(self, now: float, who: str, item: wire.Items, roster: tuple[int, int]) -> None:
         match item:
             case wire.Prepare() | wire.Write():
-                self._to(who, self._vote(now, who, item, roster), isinstance(item, wire.Write) and item.soon)
+                self._to(
+                    who, self._vote(now, who, item, roster), isinstance(item, wire.Write) and item.deferrable
+                )
             case wire.Promised():
                 self._promised(now, who, item)
             case wire.Written():
                 self._written(now, who, item)
             case wire.Refused():
                 self._refused(now, who, item)
-            case wire.Hi():
+            case wire.LeaseRequest():
                 self._hi(now, who, item, roster)
-            case wire.Granted():
+            case wire.LeaseGranted():
                 self._granted(now, who, item)
-            case wire.Lapsed():
+            case wire.LeaseLapsed():
                 self._lapsed(now, who, item)
-            case wire.RosterAsk():
-                self._reply(who, self.rosters.asked(now, item))
-            case wire.RosterWrite():
-                self._reply(who, self.rosters.write(item))
-            case wire.RosterPromised():
-                for to, ask in self.rosters.promised(now, who, item, self.runs):
+            case wire.ReplicaSetPrepare():
+                self._reply(who, self.replica_sets.on_prepare(now, item))
+            case wire.ReplicaSetWrite():
+                self._reply(who, self.replica_sets.on_write(item))
+            case wire.ReplicaSetPromised():
+                for to, ask in self.replica_sets.on_promised(now, who, item, self.runs):
                     self._to(to, ask)
-            case wire.RosterWritten():
-                decided = self.rosters.written(who, item, self.runs)
+            case wire.ReplicaSetWritten():
+                decided = self.replica_sets.on_written(who, item, self.runs)
                 if decided is not None:
                     self._enter(now, decided)
-            case wire.RosterRefused():
-                self.rosters.refused(now, item)
-            case wire.Known():
-                self._known(now, who, item.roster)
-            case wire.Tell():
+            case wire.ReplicaSetRefused():
+                self.replica_sets.on_refused(now, item)
+            case wire.ReplicaSetAnnouncement():
+                self._known(now, who, item.replica_set)
+            case wire.TransferPart():
                 self._told(now, who, item, roster)
-            case wire.Heard():
-                if item.number == self.rosters.number:
+            case wire.TransferAck():
+                if item.number == self.replica_sets.number:
                     self._tells.pop((who, item.part), None)
-            case wire.GiveMe():
+            case wire.HandOverRequest():
                 self._asked_for(now, who, item.id)
-            case wire.Given():
+            case wire.HandOver():
                 self._given(now, who, item)
-            case wire.NotGiven():
+            case wire.HandOverRefused():
                 self._not_given(now, item)
             case wire.Withdraw():
-                self.keeper.withdraw(now, item)
-            case wire.Claim():
-                self._to(who, (self.recall or Recall(self.own)).word(name_of(who), item))
-            case wire.Word():
+                self.replica.withdraw(now, item)
+            case wire.StoreClaim():
+                self._to(
+                    who, (self.persistence or ReplicaPersistence(self.own)).answer_claim(name_of(who), item)
+                )
+            case wire.StoreClaimAnswer():
                 self._word(now, name_of(who), item)
-            case wire.Seen():
-                self._answered(who, item.of)
-            case wire.Mine():
+            case wire.LeaseNotGranted():
+                self._answered(who, item.seq)
+            case wire.OwnedRecordsQuery():
                 self._mine(who, item.after)
-            case wire.Yours():
+            case wire.OwnedRecordsPage():
                 self._yours(now, who, item)
-            case wire.Thanks():
+            case wire.HandOverAck():
                 gift = self._gifts.get(item.id)
                 if gift is not None and gift[0] == who and gift[1].ballot == item.ballot:
                     del self._gifts[item.id]
@@ -418,39 +440,41 @@
     # What was brought from before the start
 
     def _judge(self, now: float) -> None:
-        claim = None if self.recall is None else self.recall.claims(now)
-        if claim is None or self.recall is None or self.recall.judge is None:
+        claim = None if self.persistence is None else self.persistence.due_claim(now)
+        if claim is None or self.persistence is None or self.persistence.judge is None:
             return
-        judge = self.recall.judge
+        judge = self.persistence.judge
         for who in self.alive:
-            if who != self.who and name_of(who) not in judge.words:
+            if who != self.own_id and name_of(who) not in judge.words:
                 self._to(who, claim)
         if judge.word is not JudgeWord.WAITING:
             self._judged(now, judge.word)
 
-    def _word(self, now: float, name: str, told: wire.Word) -> None:
-        if self.recall is None:
+    def _word(self, now: float, name: str, told: wire.StoreClaimAnswer) -> None:
+        if self.persistence is None:
             return
-        word = self.recall.heard(name, told)
+        word = self.persistence.on_claim_answer(name, told)
         if word is not JudgeWord.WAITING:
             self._judged(now, word, name)
 
     def _judged(self, now: float, word: JudgeWord, by: str = "") -> None:
         """The store is all that was promised from it, or void."""
-        assert self.recall is not None
-        brought = self.recall.judged(word is JudgeWord.WHOLE)
-        self.rosters.mute = False
+        assert self.persistence is not None
+        brought = self.persistence.conclude(word is JudgeWord.WHOLE)
+        self.replica_sets.vote_suspended = False
         if brought is not None:
-            self.keeper.load(now, brought.slots)
-            self.recall.changed.clear()  # as they are on the disk
-            self.rosters.heirs = dict.fromkeys(self.recall.lives, self.own)
-            self.rosters.bring(now, brought.votes)
+            self.replica.load(now, brought.slots)
+            self.persistence.changed_ids.clear()  # as they are on the disk
+            self.replica_sets.representatives = dict.fromkeys(self.persistence.runs, self.own)
+            self.replica_sets.restore(now, brought.vote_state)
             self._unjoined = True
             self._out.append(
-                Say(f"its store is whole: {len(brought.slots)} records, roster " f"{self.rosters.number}")
+                LogMessage(
+                    f"its store is whole: {len(brought.slots)} records, roster " f"{self.replica_sets.number}"
+                )
             )
         else:
-            self._out.append(Say(f"its store is behind what {by} has heard of it, and void"))
+            self._out.append(LogMessage(f"its store is behind what {by} has heard of it, and void"))
         self._say_hi(now, at_once=True)
 
     # Leases
@@ -459,99 +483,106 @@
         """To all who are in: those who keep nothing for this router learn that it takes part."""
         for who in self.alive:
             peer = self.peers[who]
-            if at_once or now - peer.asked_ms >= self.rules.lease_ms / RENEWALS:
+            if at_once or now - peer.requested_ms >= self.rules.lease_ms / RENEWALS_PER_LEASE:
                 self._renew(now, peer)
 
     def _renew(self, now: float, peer: Peer) -> None:
         self._seq += 1
-        peer.asked_ms = now
-        peer.asked[self._seq] = now
-        trim(peer.asked, SENT_KEPT)
-        lived, stands, lives = self.lived_before, Stands.FORGOT, tuple[str, ...]()
-        if self.recall is not None:
-            stands, roster = self.recall.told, self.rosters.roster
-            lived = lived or stands in (Stands.JUDGING, Stands.WHOLE)
-            named = () if roster is None else {x.who for x in (*roster.members, *roster.sources)}
-            lives = tuple(x for x in self.recall.lives if x in named and x != self.who)
+        peer.requested_ms = now
+        peer.pending_requests[self._seq] = now
+        evict_oldest(peer.pending_requests, MAX_PENDING_REQUESTS)
+        lived, stands, lives = self.earlier_run_known, StoreState.FORGOT, tuple[str, ...]()
+        if self.persistence is not None:
+            stands, roster = self.persistence.announced_state, self.replica_sets.current
+            lived = lived or stands in (StoreState.JUDGING, StoreState.WHOLE)
+            named = () if roster is None else {x.member_id for x in (*roster.members, *roster.sources)}
+            lives = tuple(x for x in self.persistence.runs if x in named and x != self.own_id)
         self._to(
-            peer.member.who,
-            wire.Hi(self._seq, peer.generation, self._votes, lived, self.leaving, int(stands), lives),
+            peer.member.member_id,
+            wire.LeaseRequest(
+                self._seq, peer.generation, self._votes, lived, self.leaving, int(stands), lives
+            ),
         )
 
-    def _hi(self, now: float, who: str, hi: wire.Hi, roster: tuple[int, int]) -> None:
+    def _hi(self, now: float, who: str, hi: wire.LeaseRequest, roster: tuple[int, int]) -> None:
         peer = self.peers[who]
-        peer.active, peer.lived, peer.leaving = hi.active, hi.lived, hi.leaving
-        peer.stands, peer.lives = Stands(hi.stands), hi.lives
-        if who == self.who:
-            peer.heard_ms, (peer.lineage, peer.number) = now, roster
-        held = self.rosters.roster
+        peer.votes, peer.earlier_run_known, peer.leaving = hi.votes, hi.earlier_run_known, hi.leaving
+        peer.store_state, peer.represented_runs = StoreState(hi.store_state), hi.represented_runs
+        if who == self.own_id:
+            peer.received_ms, (peer.lineage, peer.number) = now, roster
+        held = self.replica_sets.current
         if (
             held is not None
             and roster != self._roster
             and (roster[0] != held.lineage or roster[1] < held.number)
         ):
-            self._to(who, wire.Known(held))
-        if self.rosters.active and self._among_most(now):
-            if self.keeper.renew(now, who, hi.generation):
-                owned = len(self.keeper.of_owner.get(who, ()))
-                self._to(who, wire.Granted(hi.seq, hi.generation, owned))
+            self._to(who, wire.ReplicaSetAnnouncement(held))
+        if self.replica_sets.active and self._among_most(now):
+            if self.replica.renew_lease(now, who, hi.generation):
+                owned = len(self.replica.ids_by_owner.get(who, ()))
+                self._to(who, wire.LeaseGranted(hi.seq, hi.generation, owned))
             else:
-                self._to(who, wire.Lapsed(hi.seq, self.keeper.generation(who)))
+                self._to(who, wire.LeaseLapsed(hi.seq, self.replica.generation(who)))
         else:
-            self._to(who, wire.Seen(hi.seq))
+            self._to(who, wire.LeaseNotGranted(hi.seq))
 
     def _answered(self, who: str, of: int) -> float | None:
         """When the question was sent; both directions worked since."""
         peer = self.peers[who]
-        sent = peer.asked.pop(of, None)
+        sent = peer.pending_requests.pop(of, None)
         if sent is not None:
-            peer.proven_ms = max(peer.proven_ms, sent)
+            peer.confirmed_ms = max(peer.confirmed_ms, sent)
         return sent
 
-    def _granted(self, now: float, who: str, told: wire.Granted) -> None:
-        peer, sent = self.peers[who], self._answered(who, told.of)
+    def _granted(self, now: float, who: str, told: wire.LeaseGranted) -> None:
+        peer, sent = self.peers[who], self._answered(who, told.seq)
         if sent is not None and told.generation == peer.generation:
-            peer.until_ms = max(peer.until_ms, sent + GRANT_SHARE * self.rules.lease_ms)
-        if told.owned <= self._kept_by[who]:
-            peer.more_ms = None
-        elif peer.more_ms is None:
-            peer.more_ms = now
-        elif now - peer.more_ms >= MORE_MS:
-            peer.more_ms = now
-            self._to(who, wire.Mine(peer.after))
+            peer.lease_until_ms = max(peer.lease_until_ms, sent + USABLE_LEASE_SHARE * self.rules.lease_ms)
+        if told.record_count <= self._kept_by[who]:
+            peer.surplus_since_ms = None
+        elif peer.surplus_since_ms is None:
+            peer.surplus_since_ms = now
+        elif now - peer.surplus_since_ms >= SURPLUS_QUERY_DELAY_MS:
+            peer.surplus_since_ms = now
+            self._to(who, wire.OwnedRecordsQuery(peer.listed_up_to))
 
     def _mine(self, who: str, after: str) -> None:
-        ids = sorted(x for x in self.keeper.of_owner.get(who, ()) if x > after)
-        self._to(who, wire.Yours(ids[: wire.MINE_MOST], len(ids) <= wire.MINE_MOST))
+        ids = sorted(x for x in self.replica.ids_by_owner.get(who, ()) if x > after)
+        self._to(who, wire.OwnedRecordsPage(ids[: wire.MAX_LISTED_IDS], len(ids) <= wire.MAX_LISTED_IDS))
 
-    def _yours(self, now: float, who: str, told: wire.Yours) -> None:
+    def _yours(self, now: float, who: str, told: wire.OwnedRecordsPage) -> None:
         """Kept as this router's, which may not know of it: a hand-over's word was lost."""
         peer = self.peers[who]
-        peer.after = "" if told.last or not told.ids else told.ids[-1]
+        peer.listed_up_to = "" if told.last or not told.ids else told.ids[-1]
         if not told.last:
-            peer.more_ms = now - MORE_MS
+            peer.surplus_since_ms = now - SURPLUS_QUERY_DELAY_MS
         for id in told.ids:
             if (
-                id not in self.held
-                and id not in self.tries
+                id not in self.owned
+                and id not in self.acquisitions
                 and id not in self._gifts
-                and len(self.tries) < TRIES_MOST // 2
+                and len(self.acquisitions) < MAX_ACQUISITIONS // 2
             ):
-                empty = Work(self.who, 1, Phase.INTENT, False)
-                self._try(now, Try(id, "mine", empty, now + ORPHAN_MS, now + ORPHAN_MS, [], False))
-
-    def _lapsed(self, now: float, who: str, told: wire.Lapsed) -> None:
+                empty = Work(self.own_id, 1, Phase.INTENT, False)
+                self._try(
+                    now,
+                    Acquisition(
+                        id, "mine", empty, now + TAKEOVER_TIMEOUT_MS, now + TAKEOVER_TIMEOUT_MS, [], False
+                    ),
+                )
+
+    def _lapsed(self, now: float, who: str, told: wire.LeaseLapsed) -> None:
         """Another may have come to that keeper in between: all that it holds is written to it again."""
         peer = self.peers[who]
-        if self._answered(who, told.of) is None or told.generation <= peer.generation:
+        if self._answered(who, told.seq) is None or told.generation <= peer.generation:
             return
-        peer.generation, peer.until_ms = told.generation, -1e12
-        for held in self.held.values():
-            if who in held.keepers:
+        peer.generation, peer.lease_until_ms = told.generation, -1e12
+        for held in self.owned.values():
+            if who in held.replicas:
                 held.written.discard(who)
-                held.holds.discard(who)
+                held.holders.discard(who)
                 self._unwritten[held.id] = None
-                held.sent_ms, held.pause_ms = -1e12, RESEND_MS
+                held.sent_ms, held.resend_after_ms = -1e12, RESEND_MS
         self._renew(now, peer)
 
     # Rosters
@@ -562,10 +593,10 @@
             peer is None
             or who not in self.alive
             or peer.leaving
-            or peer.stands in (Stands.JUDGING, Stands.OUT)
+            or peer.store_state in (StoreState.JUDGING, StoreState.OUT)
         ):
             return False
-        return who == self.who or now - peer.heard_ms < HEARD * self.rules.lease_ms
+        return who == self.own_id or now - peer.received_ms < SILENT_AFTER_LEASES * self.rules.lease_ms
 
     def _change_rosters(self, now: float) -> None:
         wanted = (
@@ -573,153 +604,175 @@
             if self.leaving
             else tuple(sorted(x for who, x in self.alive.items() if self._takes_part(who, now)))
         )
-        lived = any(self.peers[x.who].lived for x in wanted)
+        lived = any(self.peers[x.member_id].earlier_run_known for x in wanted)
         fresh = (
             not lived
-            and self.recall is None
+            and self.persistence is None
             or len(wanted) >= self.rules.routers
-            and all(self.peers[x.who].lineage == 0 for x in wanted)
+            and all(self.peers[x.member_id].lineage == 0 for x in wanted)
         )
         here = [(x, self.peers[who]) for who, x in self.alive.items() if who in self.peers]
-        own = () if self.recall is None or self.recall.stands is not Stands.WHOLE else self.recall.lives
-        self.rosters.heirs = dict.fromkeys(own, self.own) | {
-            life: x for x, peer in here if peer.stands is Stands.WHOLE for life in peer.lives
+        own = (
+            ()
+            if self.persistence is None or self.persistence.state is not StoreState.WHOLE
+            else self.persistence.runs
+        )
+        self.replica_sets.representatives = dict.fromkeys(own, self.own) | {
+            life: x
+            for x, peer in here
+            if peer.store_state is StoreState.WHOLE
+            for life in peer.represented_runs
         }
-        self.rosters.forgot = frozenset(x.who for x, peer in here if peer.stands is Stands.FORGOT)
-        for to, item in self.rosters.due(now, wanted, self.runs, self._settled, fresh, lived):
+        self.replica_sets.forgetful_runs = frozenset(
+            x.member_id for x, peer in here if peer.store_state is StoreState.FORGOT
+        )
+        for to, item in self.replica_sets.tick(now, wanted, self.runs, self._settled, fresh, lived):
             self._to(to, item)
-        if self.rosters.active and self._votes_in != self._roster:
+        if self.replica_sets.active and self._votes_in != self._roster:
             self._votes_in = self._roster
-            self._votes_from = 0 if self.recall is None else self.recall.barrier(self.rosters.votes)
-            self._out.append(Say(f"votes in roster {self.rosters.number}"))
-        if self.rosters.stuck != self._stuck:
-            self._stuck = self.rosters.stuck
-            self._out.append(Say(self._stuck or "enough routers are here to keep work"))
+            self._votes_from = (
+                0 if self.persistence is None else self.persistence.barrier(self.replica_sets.vote_state)
+            )
+            self._out.append(LogMessage(f"votes in roster {self.replica_sets.number}"))
+        if self.replica_sets.stuck_reason != self._stuck:
+            self._stuck = self.replica_sets.stuck_reason
+            self._out.append(LogMessage(self._stuck or "enough routers are here to keep work"))
         if self._settled:
-            self.rosters.settled = True
+            self.replica_sets.settled = True
         if not self._purged and self._settled:
             self._purged = True
-            for id in [x for x in self.keeper.slots if self.who not in self.keepers(x)]:
-                self.keeper.forget(id)
+            for id in [x for x in self.replica.slots if self.own_id not in self.replicas_of(x)]:
+                self.replica.forget(id)
 
     @property
     def _votes(self) -> bool:
         """Whether others may count on this one's votes: what it was told for them is safe."""
         return (
-            self.rosters.active
+            self.replica_sets.active
             and self._votes_in == self._roster
-            and (self.recall is None or self.recall.safe >= self._votes_from and self.recall.keeps)
+            and (
+                self.persistence is None
+                or self.persistence.durable_number >= self._votes_from
+                and self.persistence.usable
+            )
         )
 
     @property
     def _settled(self) -> bool:
         """All members of the roster are known to vote in it."""
-        roster = self.rosters.roster
+        roster = self.replica_sets.current
         return (
-            self.rosters.settled
+            self.replica_sets.settled
             or roster is not None
             and all(
                 self._votes
-                if x.who == self.who
-                else (peer := self.peers.get(x.who)) is not None
-                and peer.active
+                if x.member_id == self.own_id
+                else (peer := self.peers.get(x.member_id)) is not None
+                and peer.votes
                 and (peer.lineage, peer.number) == self._roster
                 for x in roster.members
             )
         )
 
-    def _known(self, now: float, who: str, roster: Roster) -> None:
-        if self.recall is not None and self.recall.stands is Stands.JUDGING:
+    def _known(self, now: float, who: str, roster: ReplicaSet) -> None:
+        if self.persistence is not None and self.persistence.state is StoreState.JUDGING:
             return
-        if self.rosters.follows(roster):
+        if self.replica_sets.is_newer(roster):
             self._enter(now, roster)
         elif (
-            (held := self.rosters.roster) is not None
+            (held := self.replica_sets.current) is not None
             and roster.lineage != held.lineage
-            and (self.rosters.stuck or not self.rosters.member or not self._followed(now))
-            and self.peers[who].active
+            and (self.replica_sets.stuck_reason or not self.replica_sets.is_member or not self._followed(now))
+            and self.peers[who].votes
         ):
             # Its own majority is gone for good, and others have begun anew: it joins them.
-            self._out.append(Say("joins routers that began anew: what this one kept is void"))
-            self.keeper.forget_all()
+            self._out.append(LogMessage("joins routers that began anew: what this one kept is void"))
+            self.replica.forget_all()
             self._enter(now, roster)
-            for one in self.held.values():
+            for one in self.owned.values():
                 self._keep(now, one)
 
     def _followed(self, now: float) -> bool:
         """Whether most members of this one's roster are of its lineage still."""
-        roster = self.rosters.roster
+        roster = self.replica_sets.current
         return roster is not None and 2 * sum(
-            x.who == self.who or self._takes_part(x.who, now) and self.peers[x.who].lineage == roster.lineage
+            x.member_id == self.own_id
+            or self._takes_part(x.member_id, now)
+            and self.peers[x.member_id].lineage == roster.lineage
             for x in roster.members
         ) > len(roster.members)
 
-    def _enter(self, now: float, roster: Roster) -> None:
-        self.rosters.enter(now, roster)
-        self.keeper.enter(roster.number)
-        if self._unjoined and not self.rosters.tells:
+    def _enter(self, now: float, roster: ReplicaSet) -> None:
+        self.replica_sets.enter(now, roster)
+        self.replica.enter_replica_set(roster.number)
+        if self._unjoined and not self.replica_sets.is_source:
             # The others have gone on without it: what they have let lapse since must not come back.
-            self.keeper.forget_all()
+            self.replica.forget_all()
         self._unjoined = False
         self._tells.clear()
         self._parts.clear()
         self._purged = False
         names = ", ".join(x.name for x in roster.members)
         missing = f"; {len(roster.holes)} holes" if roster.holes else ""
-        self._out.append(Say(f"roster {roster.number}: {names}{missing}"))
+        self._out.append(LogMessage(f"roster {roster.number}: {names}{missing}"))
         for member in (*roster.members, *roster.sources):
-            if member.who not in self.peers:
-                self.peers[member.who] = Peer(member)
-        if self.rosters.tells:
+            if member.member_id not in self.peers:
+                self.peers[member.member_id] = Peer(member)
+        if self.replica_sets.is_source:
             self._tell(now, roster)
-        for held in self.held.values():
-            self._kept_by.subtract(held.keepers)
-            held.keepers, held.written, held.holds = self.keepers(held.id), set(), set()
-            self._kept_by.update(held.keepers)
-            held.sent_ms, held.pause_ms = -1e12, RESEND_MS
+        for held in self.owned.values():
+            self._kept_by.subtract(held.replicas)
+            held.replicas, held.written, held.holders = self.replicas_of(held.id), set(), set()
+            self._kept_by.update(held.replicas)
+            held.sent_ms, held.resend_after_ms = -1e12, RESEND_MS
             self._unwritten[held.id] = None
-        for attempt in self.tries.values():
-            attempt.stage, attempt.next_ms, attempt.claims = Stage.WAIT, now, False
-        for held in list(self.held.values()):
-            if any(placement.lost(held.id, held.ballot[0], x, self.rules.keepers + 1) for x in roster.holes):
+        for attempt in self.acquisitions.values():
+            attempt.stage, attempt.next_ms, attempt.may_claim = Stage.WAIT, now, False
+        for held in list(self.owned.values()):
+            if any(
+                placement.may_be_lost(held.id, held.ballot[0], x, self.rules.tolerated_losses + 1)
+                for x in roster.holes
+            ):
                 self._keep(now, held)  # more may have been written of it: under a new term, or not at all
         for member in roster.members:  # whoever decided it tells it to all
-            if member.who != self.who:
-                self._to(member.who, wire.Known(roster))
+            if member.member_id != self.own_id:
+                self._to(member.member_id, wire.ReplicaSetAnnouncement(roster))
         for peer in self.peers.values():
-            if peer.member.who in self.alive:
+            if peer.member.member_id in self.alive:
                 self._renew(now, peer)
 
-    def _tell(self, now: float, roster: Roster) -> None:
+    def _tell(self, now: float, roster: ReplicaSet) -> None:
         """All that this one holds, to those who keep it from now on."""
-        mine: dict[str, list[str]] = {x.who: [] for x in roster.members}
-        for id in self.keeper.slots:
-            for who in self.keepers(id):
+        mine: dict[str, list[str]] = {x.member_id: [] for x in roster.members}
+        for id in self.replica.slots:
+            for who in self.replicas_of(id):
                 mine[who].append(id)
-        leases = [(owner, self.keeper.lease_left(owner, now)) for owner in self.keeper.leases]
+        leases = [(owner, self.replica.lease_left_ms(owner, now)) for owner in self.replica.lease_ends_ms]
         leases = [x for x in leases if x[1] > 0.0]
         for who, ids in mine.items():
-            if who == self.who:
-                self.rosters.told(now, who)
+            if who == self.own_id:
+                self.replica_sets.source_completed(now, who)
                 continue
-            parts = list(wire.batches(self.keeper.told(ids), wire.size, wire.TELL_BYTES)) or [[]]
+            parts = list(
+                wire.batches(self.replica.export_slots(ids), wire.size, wire.MAX_TRANSFER_BYTES)
+            ) or [[]]
             for at, slots in enumerate(parts):
-                tell = wire.Tell(roster.number, at, len(parts), slots, leases)
+                tell = wire.TransferPart(roster.number, at, len(parts), slots, leases)
                 self._tells[who, at] = tell, now
                 self._to(who, tell)
 
-    def _told(self, now: float, who: str, tell: wire.Tell, roster: tuple[int, int]) -> None:
-        if roster[0] != self.rosters.lineage or tell.number > self.rosters.number:
+    def _told(self, now: float, who: str, tell: wire.TransferPart, roster: tuple[int, int]) -> None:
+        if roster[0] != self.replica_sets.lineage or tell.number > self.replica_sets.number:
             return  # it is told again until this one knows that roster
-        self._to(who, wire.Heard(tell.number, tell.part))
-        if tell.number < self.rosters.number or self.rosters.active:
+        self._to(who, wire.TransferAck(tell.number, tell.part))
+        if tell.number < self.replica_sets.number or self.replica_sets.active:
             return
-        self.keeper.merge(now, tell.slots, tell.leases)
+        self.replica.merge_transfer(now, tell.slots, tell.leases)
         parts = self._parts.setdefault(who, set())
         parts.add(tell.part)
         if len(parts) == tell.parts:
-            self.rosters.told(now, who)
-            if self.rosters.active:
+            self.replica_sets.source_completed(now, who)
+            if self.replica_sets.active:
                 self._say_hi(now, at_once=True)
 
     # Keeping
@@ -728,11 +781,12 @@
         """Whether most of the roster have answered of late: the others may go on without those to whom they
         have not, and answer for what those keep.  A cut is followed by a roster only later than this.
         """
-        roster = self.rosters.roster
+        roster = self.replica_sets.current
         if roster is None:
             return False
         heard = sum(
-            x.who == self.who or now - self.peers[x.who].proven_ms < HEARD * self.rules.lease_ms
+            x.member_id == self.own_id
+            or now - self.peers[x.member_id].confirmed_ms < SILENT_AFTER_LEASES * self.rules.lease_ms
             for x in roster.members
         )
         return 2 * heard > len(roster.members)
@@ -744,178 +798,193 @@
         item: wire.Prepare | wire.Write,
         roster: tuple[int, int],
     ) -> wire.Items:
-        active = self.rosters.active_ms
-        if roster != self._roster or active is None or not self._among_most(now) or self.rosters.mute:
-            return wire.Refused(item.id, item.ballot, Why.ROSTER)
-        written = self.keeper.slots.get(item.id, register.EMPTY).accepted[0]
-        hole = any(placement.lost(item.id, written, x, self.rules.keepers + 1) for x in self.rosters.holes)
+        active = self.replica_sets.active_since_ms
+        if (
+            roster != self._roster
+            or active is None
+            or not self._among_most(now)
+            or self.replica_sets.vote_suspended
+        ):
+            return wire.Refused(item.id, item.ballot, RefusalReason.REPLICA_SET)
+        written = self.replica.slots.get(item.id, register.EMPTY_SLOT).accepted[0]
+        hole = any(
+            placement.may_be_lost(item.id, written, x, self.rules.tolerated_losses + 1)
+            for x in self.replica_sets.holes
+        )
         if isinstance(item, wire.Write):
-            return self.keeper.write(now, who, item, hole)
+            return self.replica.write(now, who, item, hole)
         if hole and now - active < HOLE_WAIT_MS:
-            return wire.Refused(item.id, item.ballot, Why.ROSTER)
-        return self.keeper.prepare(now, who, item, hole)
+            return wire.Refused(item.id, item.ballot, RefusalReason.REPLICA_SET)
+        return self.replica.prepare(now, who, item, hole)
 
     # Owning
 
-    def _own(self, now: float, attempt: Try) -> None:
+    def _own(self, now: float, attempt: Acquisition) -> None:
         work = attempt.work
         assert work is not None
-        held = Held(attempt.id, work, attempt.ballot, attempt.ballot, attempt.keepers, sent_ms=now)
-        if attempt.reason == "keep" and (was := self.held.get(attempt.id)) is not None:
-            held.to = was.to
+        held = OwnedRecord(attempt.id, work, attempt.ballot, attempt.ballot, attempt.replicas, sent_ms=now)
+        if attempt.reason == "keep" and (was := self.owned.get(attempt.id)) is not None:
+            held.hand_over_to = was.hand_over_to
         held.written = {
             x
             for x, generation in attempt.written.items()
             if x in self.peers and self.peers[x].generation == generation
         }
-        held.holds = set(held.written)
+        held.holders = set(held.written)
         self._hold(held)
-        if len(held.written) < len(held.keepers):
+        if len(held.written) < len(held.replicas):
             self._unwritten[attempt.id] = None
 
-    def _write(self, now: float, held: Held, work: Work) -> None:
+    def _write(self, now: float, held: OwnedRecord, work: Work) -> None:
         held.work = work
-        if held.id not in self.tries:  # otherwise once it is known that this router has the record still
+        if (
+            held.id not in self.acquisitions
+        ):  # otherwise once it is known that this router has the record still
             held.ballot, held.written = (*held.ballot[:2], held.ballot[2] + 1), set()
-            held.pause_ms = RESEND_MS
+            held.resend_after_ms = RESEND_MS
             self._send_to_keepers(now, held)
 
-    def _keep(self, now: float, held: Held, seen: Ballot = NONE) -> None:
+    def _keep(self, now: float, held: OwnedRecord, seen: Ballot = NO_BALLOT) -> None:
         """Asks for a new term, or learns that another has the record."""
-        if held.id not in self.tries:
+        if held.id not in self.acquisitions:
             seen = max(seen, held.ballot)
-            self._try(now, Try(held.id, "keep", held.work, 1e18, 1e18, [], False, seen=seen))
+            self._try(now, Acquisition(held.id, "keep", held.work, 1e18, 1e18, [], False, highest_seen=seen))
 
-    def _send_to_keepers(self, now: float, held: Held) -> None:
+    def _send_to_keepers(self, now: float, held: OwnedRecord) -> None:
         held.sent_ms = now
         self._unwritten[held.id] = None
-        soon = not held.work.paid and not held.to
-        write = wire.Write(held.id, held.ballot, held.work, soon=soon)
-        for who in held.keepers:
+        soon = not held.work.paid and not held.hand_over_to
+        write = wire.Write(held.id, held.ballot, held.work, deferrable=soon)
+        for who in held.replicas:
             if who not in held.written:
                 self._to(who, write, soon)
 
     def _rewrite(self, now: float) -> None:
-        for id in list(islice(self._unwritten, REWRITES_TICK)):
-            held = self.held.get(id)
-            if held is None or len(held.written) == len(held.keepers) and held.keepers:
+        for id in list(islice(self._unwritten, REWRITES_PER_TICK)):
+            held = self.owned.get(id)
+            if held is None or len(held.written) == len(held.replicas) and held.replicas:
                 del self._unwritten[id]
                 continue
             del self._unwritten[id]  # behind the others
             self._unwritten[id] = None
-            here = any(x in self.alive for x in held.keepers if x not in held.written)
-            if here and id not in self.tries and now - held.sent_ms >= held.pause_ms:
-                held.pause_ms = min(2.0 * held.pause_ms, RESEND_MOST_MS)
+            here = any(x in self.alive for x in held.replicas if x not in held.written)
+            if here and id not in self.acquisitions and now - held.sent_ms >= held.resend_after_ms:
+                held.resend_after_ms = min(2.0 * held.resend_after_ms, MAX_RESEND_MS)
                 self._send_to_keepers(now, held)
 
-    def _chosen(self, now: float, held: Held) -> None:
+    def _chosen(self, now: float, held: OwnedRecord) -> None:
         """A majority holds what was written last."""
         if held.chosen == held.ballot:
             return
         held.chosen = held.ballot
-        if held.to:
-            given = wire.Given(held.id, held.ballot, held.work)
+        if held.hand_over_to:
+            given = wire.HandOver(held.id, held.ballot, held.work)
             self.counters.handed_over += 1
             self._forget(held.id)
-            self._gifts[held.id] = held.to, given, now, now + GIFT_MS
-            trim(self._gifts, GIFTS_MOST)
-            self._to(held.to, given)
-        elif not register.owned(held.work):
+            self._gifts[held.id] = held.hand_over_to, given, now, now + HAND_OVER_EXPIRY_MS
+            evict_oldest(self._gifts, MAX_PENDING_HAND_OVERS)
+            self._to(held.hand_over_to, given)
+        elif not register.active_owner(held.work):
             self._forget(held.id)
             self._out.append(Closed(held.id))
         else:
-            self._out.append(Kept(held.id, held.work.phase))
+            self._out.append(Replicated(held.id, held.work.phase))
 
-    def _hold(self, held: Held) -> None:
+    def _hold(self, held: OwnedRecord) -> None:
         self._forget(held.id)
-        self.held[held.id] = held
-        self._kept_by.update(held.keepers)
+        self.owned[held.id] = held
+        self._kept_by.update(held.replicas)
 
     def _forget(self, id: str) -> None:
-        held = self.held.pop(id, None)
+        held = self.owned.pop(id, None)
         if held is not None:
-            self._kept_by.subtract(held.keepers)
+            self._kept_by.subtract(held.replicas)
         self._unwritten.pop(id, None)
 
     def _lose(self, id: str, to: str, over: bool = False) -> None:
         self.counters.fenced += 1
         self._forget(id)
-        self._out.append(Lost(id, to, over))
+        self._out.append(OwnershipLost(id, to, over))
 
     def _asked_for(self, now: float, who: str, id: str) -> None:
-        held, gift = self.held.get(id), self._gifts.get(id)
+        held, gift = self.owned.get(id), self._gifts.get(id)
         if gift is not None and gift[0] == who:
             self._to(who, gift[1])
-        elif held is None or held.to:
-            self._to(who, wire.NotGiven(id, held is not None))
+        elif held is None or held.hand_over_to:
+            self._to(who, wire.HandOverRefused(id, held is not None))
         elif held.work.phase is Phase.STANDS:
             self._hand(now, held, who)
         else:
-            self._to(who, wire.NotGiven(id, True))
+            self._to(who, wire.HandOverRefused(id, True))
 
-    def _given(self, now: float, who: str, given: wire.Given) -> None:
-        self._to(who, wire.Thanks(given.id, given.ballot))
-        held = self.held.get(given.id)
-        if given.work.owner != self.who or held is not None and held.chosen >= given.ballot:
+    def _given(self, now: float, who: str, given: wire.HandOver) -> None:
+        self._to(who, wire.HandOverAck(given.id, given.ballot))
+        held = self.owned.get(given.id)
+        if given.work.owner != self.own_id or held is not None and held.chosen >= given.ballot:
             return
         if given.id in self._gifts and self._gifts[given.id][1].ballot >= given.ballot:
             return  # it has been here, and was handed on
         self.counters.received += 1
         self._hold(
-            Held(given.id, given.work, given.ballot, given.ballot, self.keepers(given.id), sent_ms=-1e12)
+            OwnedRecord(
+                given.id, given.work, given.ballot, given.ballot, self.replicas_of(given.id), sent_ms=-1e12
+            )
         )
         self._unwritten[given.id] = None
-        self._out.append(Took(given.id, given.work, None))
-        attempt = self.tries.pop(given.id, None)
-        for number in () if attempt is None else attempt.numbers:
-            self._out.append(Answer(number, Verdict.TAKEN, given.work))
+        self._out.append(Acquired(given.id, given.work, None))
+        attempt = self.acquisitions.pop(given.id, None)
+        for number in () if attempt is None else attempt.callers:
+            self._out.append(Answer(number, Verdict.TAKEN_OVER, given.work))
         if self.leaving:
             self._leave_behind(now, given.id)
 
-    def _not_given(self, now: float, told: wire.NotGiven) -> None:
-        attempt = self.tries.get(told.id)
-        if attempt is not None and attempt.stage is Stage.HAND:
-            if told.open:
-                attempt.next_ms, attempt.sent_ms = now + ASK_AGAIN_MS, now
+    def _not_given(self, now: float, told: wire.HandOverRefused) -> None:
+        attempt = self.acquisitions.get(told.id)
+        if attempt is not None and attempt.stage is Stage.HAND_OVER:
+            if told.set_up_pending:
+                attempt.next_ms, attempt.sent_ms = now + HAND_OVER_RETRY_MS, now
             else:
-                attempt.stage, attempt.next_ms = Stage.WAIT, now + ASK_AGAIN_MS
+                attempt.stage, attempt.next_ms = Stage.WAIT, now + HAND_OVER_RETRY_MS
 
     # Trying
 
-    def _try(self, now: float, attempt: Try) -> None:
-        self.tries[attempt.id] = attempt
+    def _try(self, now: float, attempt: Acquisition) -> None:
+        self.acquisitions[attempt.id] = attempt
         attempt.next_ms = now
         self._step(now, attempt)
 
-    def _step(self, now: float, attempt: Try) -> None:
-        if now >= (attempt.until_ms if attempt.owner else attempt.soon_ms) and attempt.reason != "keep":
-            del self.tries[attempt.id]
-            if attempt.wrote:
+    def _step(self, now: float, attempt: Acquisition) -> None:
+        if (
+            now >= (attempt.owned_deadline_ms if attempt.owner else attempt.deadline_ms)
+            and attempt.reason != "keep"
+        ):
+            del self.acquisitions[attempt.id]
+            if attempt.wrote_prepared:
                 self._idle[attempt.id] = None
-                trim(self._idle, IDLE_MOST)
-            verdict = Verdict.HELD if attempt.owner else Verdict.UNKEPT
-            self.counters.unkept += bool(attempt.numbers)
-            for number in attempt.numbers:
+                evict_oldest(self._idle, MAX_UNUSED)
+            verdict = Verdict.OWNED_ELSEWHERE if attempt.owner else Verdict.UNREPLICATED
+            self.counters.unkept += bool(attempt.callers)
+            for number in attempt.callers:
                 self._out.append(Answer(number, verdict, None))
             return
         if attempt.stage is Stage.WAIT:
             if now >= attempt.next_ms:
                 self._begin(now, attempt)
-        elif attempt.stage is Stage.HAND:
+        elif attempt.stage is Stage.HAND_OVER:
             if now >= attempt.next_ms:
-                attempt.next_ms = now + ASK_AGAIN_MS
-                if attempt.owner in self.alive and now - attempt.sent_ms < HAND_MS:
-                    self._to(attempt.owner, wire.GiveMe(attempt.id))
+                attempt.next_ms = now + HAND_OVER_RETRY_MS
+                if attempt.owner in self.alive and now - attempt.sent_ms < HAND_OVER_TIMEOUT_MS:
+                    self._to(attempt.owner, wire.HandOverRequest(attempt.id))
                 else:
                     attempt.stage = Stage.WAIT
         elif attempt.written and self._wins(now, attempt):
             self._won(now, attempt)  # a lease has come since
         elif attempt.stage is Stage.CLAIM and now - attempt.sent_ms >= RESEND_MS:
             self._begin(now, attempt)  # one of them does not answer: most are enough, with a question first
-        elif now - attempt.sent_ms >= attempt.pause_ms and attempt.refusals:
+        elif now - attempt.sent_ms >= attempt.resend_after_ms and attempt.refusals:
             self._give_way(now, attempt)  # the others may be away: what was refused is asked again
-        elif now - attempt.sent_ms >= attempt.pause_ms:
-            attempt.pause_ms = min(2.0 * attempt.pause_ms, 4.0 * RESEND_MS)
+        elif now - attempt.sent_ms >= attempt.resend_after_ms:
+            attempt.resend_after_ms = min(2.0 * attempt.resend_after_ms, 4.0 * RESEND_MS)
             attempt.written = {
                 who: generation
                 for who, generation in attempt.written.items()
@@ -923,116 +992,120 @@
             }
             self._ask(now, attempt)
 
-    def _begin(self, now: float, attempt: Try) -> None:
+    def _begin(self, now: float, attempt: Acquisition) -> None:
         """A new ballot, over those who keep it now."""
         if attempt.stage is Stage.CLAIM:
             self._withdraw(attempt)
-        attempt.keepers = self.keepers(attempt.id)
-        if not attempt.keepers:
+        attempt.replicas = self.replicas_of(attempt.id)
+        if not attempt.replicas:
             return  # there is no roster yet
         # All keepers have to take a claim: where one is away it is asked for at once.
-        attempt.claims = attempt.claims and all(self._takes_part(x, now) for x in attempt.keepers)
-        if attempt.claims:
-            attempt.ballot = register.CLAIM, self.who, 0
+        attempt.may_claim = attempt.may_claim and all(self._takes_part(x, now) for x in attempt.replicas)
+        if attempt.may_claim:
+            attempt.ballot = register.CLAIM_COUNTER, self.own_id, 0
         else:
-            attempt.ballot = above(max(attempt.seen, self._last), self.rosters.number, self.who)
-            attempt.seen = self._last = attempt.ballot  # no term of this run's is ever used twice
+            attempt.ballot = next_ballot(
+                max(attempt.highest_seen, self._last), self.replica_sets.number, self.own_id
+            )
+            attempt.highest_seen = self._last = attempt.ballot  # no term of this run's is ever used twice
         attempt.promises, attempt.refusals, attempt.written = {}, {}, {}
-        attempt.stage = Stage.CLAIM if attempt.claims else Stage.ASK
-        attempt.work = attempt.intent if attempt.claims else None
-        attempt.wrote = attempt.wrote or attempt.claims
-        attempt.found, attempt.claims, attempt.pause_ms = None, False, RESEND_MS
+        attempt.stage = Stage.CLAIM if attempt.may_claim else Stage.PREPARE
+        attempt.work = attempt.proposed if attempt.may_claim else None
+        attempt.wrote_prepared = attempt.wrote_prepared or attempt.may_claim
+        attempt.found, attempt.may_claim, attempt.resend_after_ms = None, False, RESEND_MS
         self._ask(now, attempt)
 
-    def _withdraw(self, attempt: Try) -> None:
+    def _withdraw(self, attempt: Acquisition) -> None:
         """A keeper that took it alone would deny others for as long as this router lives."""
-        for who in attempt.keepers:
+        for who in attempt.replicas:
             self._to(who, wire.Withdraw(attempt.id, attempt.ballot))
 
-    def _ask(self, now: float, attempt: Try) -> None:
+    def _ask(self, now: float, attempt: Acquisition) -> None:
         attempt.sent_ms = now
         ask: wire.Items
-        if attempt.stage is Stage.ASK:
+        if attempt.stage is Stage.PREPARE:
             ask = wire.Prepare(attempt.id, attempt.ballot)
             answered = attempt.promises.keys() | attempt.refusals.keys()
         else:
             assert attempt.work is not None
             ask = wire.Write(
-                attempt.id, attempt.ballot, attempt.work, attempt.stage is Stage.CLAIM, attempt.soon
+                attempt.id, attempt.ballot, attempt.work, attempt.stage is Stage.CLAIM, attempt.deferrable
             )
             answered = attempt.written.keys() | attempt.refusals.keys()
-        for who in attempt.keepers:
+        for who in attempt.replicas:
             if who not in answered:
-                self._to(who, ask, attempt.soon and attempt.stage is not Stage.ASK)
+                self._to(who, ask, attempt.deferrable and attempt.stage is not Stage.PREPARE)
 
     def _promised(self, now: float, who: str, told: wire.Promised) -> None:
-        attempt = self.tries.get(told.id)
+        attempt = self.acquisitions.get(told.id)
         if (
             attempt is None
-            or attempt.stage is not Stage.ASK
+            or attempt.stage is not Stage.PREPARE
             or told.ballot != attempt.ballot
-            or who not in attempt.keepers
+            or who not in attempt.replicas
         ):
             return
         attempt.promises[who] = told
-        if len(attempt.promises) < register.majority(len(attempt.keepers)):
+        if len(attempt.promises) < register.majority(len(attempt.replicas)):
             return
         newest = max(attempt.promises.values(), key=lambda x: x.accepted)
         self._decide(now, attempt, newest.work, any(x.hole for x in attempt.promises.values()))
 
-    def _decide(self, now: float, attempt: Try, found: Work | None, hole: bool) -> None:
+    def _decide(self, now: float, attempt: Acquisition, found: Work | None, hole: bool) -> None:
         work: Work
         if attempt.reason == "keep":
-            held = self.held.get(attempt.id)
+            held = self.owned.get(attempt.id)
             if held is None or not self._mine_still(held, found):
-                del self.tries[attempt.id]
+                del self.acquisitions[attempt.id]
                 if held is not None and found is not None:
-                    self._lose(attempt.id, found.owner, not register.owned(found))
+                    self._lose(attempt.id, found.owner, not register.active_owner(found))
                 return
             work = held.work
         elif (
             attempt.reason == "orphan"
-            and (found is None or register.owned(found) in self.alive)
+            and (found is None or register.active_owner(found) in self.alive)
             or attempt.reason == "mine"
-            and register.owned(found) != self.who
+            and register.active_owner(found) != self.own_id
         ):
-            del self.tries[attempt.id]
+            del self.acquisitions[attempt.id]
             return
         elif attempt.reason == "find" and (found is None or found.phase is not Phase.STANDS):
-            del self.tries[attempt.id]
-            for number in attempt.numbers:
+            del self.acquisitions[attempt.id]
+            for number in attempt.callers:
                 self._out.append(Answer(number, Verdict.FINAL, found))
             return
-        elif hole and attempt.intent.paid and (found is None or found.phase is Phase.INTENT):
+        elif hole and attempt.proposed.paid and (found is None or found.phase is Phase.INTENT):
             self.counters.unknown += 1  # more may have been known of it than is known now
             work = (
-                msgspec.structs.replace(attempt.intent, phase=Phase.FAILED, epoch=UNKNOWN)
+                msgspec.structs.replace(attempt.proposed, phase=Phase.FAILED, epoch=UNKNOWN_EPOCH)
                 if found is None
-                else register.follows(found, self.who, phase=Phase.DOOMED)
+                else register.with_next_owner(found, self.own_id, phase=Phase.DOOMED)
             )
-        elif attempt.reason == "orphan" and found is not None and not register.owned(found):
+        elif attempt.reason == "orphan" and found is not None and not register.active_owner(found):
             work = found
         elif (
             found is not None
-            and found.owner == self.who
+            and found.owner == self.own_id
             and found.phase is Phase.INTENT
             and found.paid
-            and not attempt.wrote
+            and not attempt.wrote_prepared
             and attempt.id not in self._idle
         ):
             # Lost and come back: it may have left before.
             work = msgspec.structs.replace(found, phase=Phase.DOOMED)
         else:
-            work = register.taken_over(found, self.who, attempt.intent)
+            work = register.value_after_takeover(found, self.own_id, attempt.proposed)
             # Not acted on before it is won, whatever comes between: found again it is no failure.
-            attempt.wrote = attempt.wrote or work.owner == self.who and work.phase is Phase.INTENT
+            attempt.wrote_prepared = (
+                attempt.wrote_prepared or work.owner == self.own_id and work.phase is Phase.INTENT
+            )
         attempt.found, attempt.work, attempt.stage = found, work, Stage.WRITE
         attempt.refusals = {}
         self._ask(now, attempt)
 
-    def _wins(self, now: float, attempt: Try) -> bool:
+    def _wins(self, now: float, attempt: Acquisition) -> bool:
         """Enough keepers have taken it; where it is to be acted on, their leases run as well."""
-        count = len(attempt.keepers)
+        count = len(attempt.replicas)
         most = register.majority(count)
         if len(attempt.written) < (count if attempt.stage is Stage.CLAIM else most):
             return False
@@ -1041,149 +1114,160 @@
         sure = [
             who
             for who, generation in attempt.written.items()
-            if self.peers[who].generation == generation and self.peers[who].until_ms > now
+            if self.peers[who].generation == generation and self.peers[who].lease_until_ms > now
         ]
         return len(sure) >= most
 
-    def _mine_still(self, held: Held, found: Work | None) -> bool:
+    def _mine_still(self, held: OwnedRecord, found: Work | None) -> bool:
         """Whether what keepers have is this owner's, or what it was before; handed on, just what it wrote."""
         if found is None or found.epoch < held.work.epoch:
             return True
-        return found == held.work if held.to else (found.epoch, found.owner) == (held.work.epoch, self.who)
+        return (
+            found == held.work
+            if held.hand_over_to
+            else (found.epoch, found.owner) == (held.work.epoch, self.own_id)
+        )
 
     def _written(self, now: float, who: str, told: wire.Written) -> None:
-        attempt, held = self.tries.get(told.id), self.held.get(told.id)
+        attempt, held = self.acquisitions.get(told.id), self.owned.get(told.id)
         if (
             attempt is not None
             and attempt.stage in (Stage.CLAIM, Stage.WRITE)
             and told.ballot == attempt.ballot
-            and who in attempt.keepers
+            and who in attempt.replicas
         ):
             attempt.written[who] = told.generation
             if self._wins(now, attempt):
                 self._won(now, attempt)
-        elif held is not None and who in held.keepers:
+        elif held is not None and who in held.replicas:
             if told.generation == self.peers[who].generation and told.ballot[:2] == held.ballot[:2]:
-                held.holds.add(who)
+                held.holders.add(who)
             if told.ballot != held.ballot:
                 return
             if told.generation == self.peers[who].generation:
                 held.written.add(who)
-            if len(held.written) >= register.majority(len(held.keepers)):
+            if len(held.written) >= register.majority(len(held.replicas)):
                 self._chosen(now, held)
 
-    def _won(self, now: float, attempt: Try) -> None:
+    def _won(self, now: float, attempt: Acquisition) -> None:
         work, found = attempt.work, attempt.found
         assert work is not None
-        del self.tries[attempt.id]
+        del self.acquisitions[attempt.id]
         if attempt.reason == "keep":
-            was = self.held.get(attempt.id)
+            was = self.owned.get(attempt.id)
             if was is None:
                 return  # an earlier write of this router's was chosen meanwhile, and ended it
             latest = was.work
             self._own(now, attempt)
-            held = self.held[attempt.id]
+            held = self.owned[attempt.id]
             if latest != work:  # it has changed meanwhile
                 self._write(now, held, latest)
             else:
-                held.chosen = NONE  # so that what waited for this is told now
+                held.chosen = NO_BALLOT  # so that what waited for this is told now
                 self._chosen(now, held)
             return
-        mine = register.owned(work) == self.who
+        mine = register.active_owner(work) == self.own_id
         self._idle.pop(attempt.id, None)
         if mine:
             self._own(now, attempt)
-        again = found is not None and mine and found.owner == self.who and bool(found.past)
-        if found is not None and (found != work and found.owner != self.who or again):
+        again = found is not None and mine and found.owner == self.own_id and bool(found.past_owners)
+        if found is not None and (found != work and found.owner != self.own_id or again):
             self.counters.taken_over += 1  # (again: taken before, and its keepers' answers came too late)
         elif found is None:
             self.counters.claimed += 1
         if found is not None and (found != work or mine):
-            self._out.append(Took(attempt.id, work, found))
+            self._out.append(Acquired(attempt.id, work, found))
         verdict = (
             Verdict.FINAL
             if not mine or work.phase is Phase.DOOMED
-            else Verdict.TAKEN
+            else Verdict.TAKEN_OVER
             if work.phase is Phase.STANDS
             else Verdict.NEW
         )
-        for number in attempt.numbers:
+        for number in attempt.callers:
             self._out.append(Answer(number, verdict, work))
         if mine and work.phase is Phase.DOOMED:
-            self._write(now, self.held[attempt.id], msgspec.structs.replace(work, phase=Phase.FAILED))
+            self._write(now, self.owned[attempt.id], msgspec.structs.replace(work, phase=Phase.FAILED))
 
     def _refused(self, now: float, who: str, told: wire.Refused) -> None:
-        attempt, held = self.tries.get(told.id), self.held.get(told.id)
+        attempt, held = self.acquisitions.get(told.id), self.owned.get(told.id)
         if attempt is None:
-            if held is not None and told.ballot == held.ballot and told.why is Why.BALLOT:
+            if held is not None and told.ballot == held.ballot and told.reason is RefusalReason.BALLOT:
                 # Another has come to that keeper: who has the record now?
                 self._keep(now, held, told.promised)
             return
-        if told.ballot != attempt.ballot or attempt.stage not in (Stage.CLAIM, Stage.ASK, Stage.WRITE):
+        if told.ballot != attempt.ballot or attempt.stage not in (Stage.CLAIM, Stage.PREPARE, Stage.WRITE):
             return
         attempt.refusals[who] = told
-        attempt.seen = max(attempt.seen, told.promised)
-        left = len(attempt.keepers) - len(attempt.refusals)
-        if attempt.stage is not Stage.CLAIM and left >= register.majority(len(attempt.keepers)):
+        attempt.highest_seen = max(attempt.highest_seen, told.promised)
+        left = len(attempt.replicas) - len(attempt.refusals)
+        if attempt.stage is not Stage.CLAIM and left >= register.majority(len(attempt.replicas)):
             return
         self._give_way(now, attempt)
 
-    def _give_way(self, now: float, attempt: Try) -> None:
+    def _give_way(self, now: float, attempt: Acquisition) -> None:
         """This ballot comes to nothing: another has a higher one, or its owner a lease."""
         refusals, claimed = list(attempt.refusals.values()), attempt.stage is Stage.CLAIM
         if claimed:
             self._withdraw(attempt)
         # Guards against two who undo each other's ballots for as long as keepers' disks are slow.
-        pause = min(BACKOFF_MS * 2.0 ** min(attempt.yields, 16), BACKOFF_MOST_MS)
+        pause = min(BACKOFF_MS * 2.0 ** min(attempt.yields, 16), MAX_BACKOFF_MS)
         attempt.stage, attempt.next_ms = Stage.WAIT, now + self.random.uniform(0.2, 1.0) * pause
         attempt.yields += 1
-        leases = [x for x in refusals if x.why is Why.LEASE]
+        leases = [x for x in refusals if x.reason is RefusalReason.LEASE]
         if leases:
             attempt.owner = leases[0].owner
-            if attempt.reason == "keep" and len(leases) >= register.majority(len(attempt.keepers)):
-                del self.tries[attempt.id]
+            if attempt.reason == "keep" and len(leases) >= register.majority(len(attempt.replicas)):
+                del self.acquisitions[attempt.id]
                 self._lose(attempt.id, attempt.owner)
             elif attempt.reason in ("claim", "find") and attempt.owner in self.alive:
-                attempt.stage, attempt.next_ms, attempt.sent_ms = Stage.HAND, now, now
+                attempt.stage, attempt.next_ms, attempt.sent_ms = Stage.HAND_OVER, now, now
                 self._step(now, attempt)
             else:
-                attempt.next_ms = now + max(min(x.left_ms for x in leases), 1.0)
-        elif claimed and all(x.why is not Why.ROSTER for x in refusals):
+                attempt.next_ms = now + max(min(x.lease_left_ms for x in leases), 1.0)
+        elif claimed and all(x.reason is not RefusalReason.REPLICA_SET for x in refusals):
             self._begin(now, attempt)  # it is not new: ask what it is
 
     # Records whose owner is gone
 
     def _look_for_orphans(self, now: float) -> None:
-        if now - self._looked_ms >= LOOK_MS and self.rosters.active and not self.leaving:
+        if now - self._looked_ms >= OWNERLESS_SCAN_MS and self.replica_sets.active and not self.leaving:
             self._looked_ms = now
-            for owner, ids in self.keeper.of_owner.items():
+            for owner, ids in self.replica.ids_by_owner.items():
                 if owner not in self.alive:
                     for id in ids:
                         self._queue(now, id, owner)
         begun = 0
-        while self._orphans and begun < ORPHANS_TICK and self._orphans.peekitem(0)[0][0] <= now:
+        while self._orphans and begun < TAKEOVERS_PER_TICK and self._orphans.peekitem(0)[0][0] <= now:
             (_, id), _ = self._orphans.popitem(0)
             self._queued.discard(id)
-            work = self.look(id)
+            work = self.known_work(id)
             if (
                 work is None
-                or register.owned(work) in (*self.alive, "")
-                or id in self.tries
-                or len(self.tries) >= TRIES_MOST // 2
+                or register.active_owner(work) in (*self.alive, "")
+                or id in self.acquisitions
+                or len(self.acquisitions) >= MAX_ACQUISITIONS // 2
             ):
                 continue
             begun += 1
-            self._try(now, Try(id, "orphan", work, now + ORPHAN_MS, now + ORPHAN_MS, [], False))
+            self._try(
+                now,
+                Acquisition(
+                    id, "orphan", work, now + TAKEOVER_TIMEOUT_MS, now + TAKEOVER_TIMEOUT_MS, [], False
+                ),
+            )
 
     def _queue(self, now: float, id: str, owner: str) -> None:
-        slot: Slot = self.keeper.slots[id]
-        if id in self._queued or id in self.tries or not register.owned(slot.work):
+        slot: Slot = self.replica.slots[id]
+        if id in self._queued or id in self.acquisitions or not register.active_owner(slot.work):
             return
-        here = [x for x in self.keepers(id) if x in self.alive]
-        if self.who not in here:
+        here = [x for x in self.replicas_of(id) if x in self.alive]
+        if self.own_id not in here:
             return
-        first = placement.successor(id, here, self.room) == self.who
-        due = max(now, self.keeper.leases.get(owner, now)) + (0.0 if first else BACKUP_MS)
+        first = placement.choose_successor(id, here, self.spare_capacity) == self.own_id
+        due = max(now, self.replica.lease_ends_ms.get(owner, now)) + (
+            0.0 if first else BACKUP_TAKEOVER_DELAY_MS
+        )
         self._queued.add(id)
         self._orphans[due, id] = None
 
--- a/cloverhinge/ownership/model.py
+++ b/cloverhinge/ownership/model.py
@@ -7,30 +7,30 @@
 from enum import Enum
 
 from cloverhinge.ownership import wire
-from cloverhinge.ownership.persistence import Persist, Stands
-from cloverhinge.ownership.register import NONE, Ballot, Phase, Work
+from cloverhinge.ownership.persistence import Persist, StoreState
+from cloverhinge.ownership.register import NO_BALLOT, Ballot, Phase, Work
 from cloverhinge.ownership.wire import Member
 
-RESEND_MS, RESEND_MOST_MS = 50.0, 800.0  # what was lost is sent again; each time after twice as long
+RESEND_MS, MAX_RESEND_MS = 50.0, 800.0  # what was lost is sent again; each time after twice as long
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
     """What an installation sets; times in ms."""
 
-    keepers: int = 2  # losses that a record is to bear, and so one more holds a copy
+    tolerated_losses: int = 2  # losses that a record is to bear, and so one more holds a copy
     lease_ms: float = 1500.0
     routers: int = 1  # that the installation has
-    lasts_ms: float = 60_000.0  # an answer that stays is kept for so long
+    retention_ms: float = 60_000.0  # an answer that stays is kept for so long
     hole_ms: float = 60_000.0  # what was lost is unknown for so long
 
 
 class Verdict(Enum):
     NEW = "new"  # the intent is this router's, and with the keepers: set it up
-    TAKEN = "taken"  # it stands, and is this router's from now on
+    TAKEN_OVER = "taken"  # it stands, and is this router's from now on
     FINAL = "final"  # answered for good
-    HELD = "held"  # another has it, and did not hand it over in time
-    UNKEPT = "unkept"  # its keepers could not be reached in time
+    OWNED_ELSEWHERE = "held"  # another has it, and did not hand it over in time
+    UNREPLICATED = "unkept"  # its keepers could not be reached in time
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Took:
+class Acquired:
     """This router changed the owner, or the verdict: what `found` had out is its to clear up."""
 
     id: str
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class OwnershipLost:
     """Not this router's any more; `to` took it, or is given it, and the box hears nothing of that.
 
     `over`: it has been answered for good, and is nobody's, so that what stands at its box is to be released.
@@ -66,11 +66,11 @@
 
     id: str
     to: str
-    over: bool = False
+    final: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class Replicated:
     """What was written last of a record that this router owns is with its keepers."""
 
     id: str
@@ -85,11 +85,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogMessage:
     text: str
 
 
-Action = Send | Answer | Took | Lost | Kept | Closed | Say | Persist
+Action = Send | Answer | Acquired | OwnershipLost | Replicated | Closed | LogMessage | Persist
 
 
 @dataclass(slots=True)
@@ -106,61 +106,65 @@
 @dataclass(slots=True)
 class Peer:
     member: Member
-    heard_ms: float = -1e12
-    proven_ms: float = -1e12  # when a question was sent that it has answered
+    received_ms: float = -1e12
+    confirmed_ms: float = -1e12  # when a question was sent that it has answered
     lineage: int = 0
     number: int = 0
-    active: bool = False
-    lived: bool = False
+    votes: bool = False
+    earlier_run_known: bool = False
     leaving: bool = False
-    stands: Stands | None = None  # None: it has not said yet
-    lives: tuple[str, ...] = ()
+    store_state: StoreState | None = None  # None: it has not said yet
+    represented_runs: tuple[str, ...] = ()
     generation: int = 0
-    until_ms: float = -1e12  # of its lease for this router, by this router's clock
-    asked: OrderedDict[int, float] = field(default_factory=OrderedDict)
-    asked_ms: float = -1e12
-    more_ms: float | None = None  # since when it keeps more records as this router's than that knows of
-    after: str = ""  # which of them it was asked about last
+    lease_until_ms: float = -1e12  # of its lease for this router, by this router's clock
+    pending_requests: OrderedDict[int, float] = field(default_factory=OrderedDict)
+    requested_ms: float = -1e12
+    surplus_since_ms: float | None = (
+        None  # since when it keeps more records as this router's than that knows of
+    )
+    listed_up_to: str = ""  # which of them it was asked about last
 
 
 @dataclass(slots=True)
-class Held:
+class OwnedRecord:
     """A record that this router owns, under a term of its own or one that it was given."""
 
     id: str
     work: Work
     ballot: Ballot
     chosen: Ballot  # the last one that a majority is known to have taken
-    keepers: tuple[str, ...]
+    replicas: tuple[str, ...]
     written: set[str] = field(default_factory=set)  # keepers that have what was written last
-    holds: set[str] = field(default_factory=set)  # keepers that have this or an earlier write of this owner's
+    holders: set[str] = field(
+        default_factory=set
+    )  # keepers that have this or an earlier write of this owner's
     sent_ms: float = 0.0
-    pause_ms: float = RESEND_MS
-    to: str = ""  # to whom it is being handed
+    resend_after_ms: float = RESEND_MS
+    hand_over_to: str = ""  # to whom it is being handed
 
 
 class Stage(Enum):
     WAIT = 0  # until `next_ms`
     CLAIM = 1  # written as new, without a question
-    ASK = 2
+    PREPARE = 2
     WRITE = 3
-    HAND = 4  # its owner lives, and is asked for it
+    HAND_OVER = 4  # its owner lives, and is asked for it
 
 
 @dataclass(slots=True)
-class Try:
+class Acquisition:
     id: str
     reason: str  # claim, find, orphan, keep, mine
-    intent: Work
-    soon_ms: float  # it ends then, or at `until_ms` where the record is known to be another's
-    until_ms: float
-    numbers: list[int]
-    claims: bool  # the record may be new: it is written to all keepers at once
+    proposed: Work
+    deadline_ms: float  # it ends then, or at `until_ms` where the record is known to be another's
+    owned_deadline_ms: float
+    callers: list[int]
+    may_claim: bool  # the record may be new: it is written to all keepers at once
     stage: Stage = Stage.WAIT
     next_ms: float = 0.0
-    keepers: tuple[str, ...] = ()
-    ballot: Ballot = NONE
-    seen: Ballot = NONE
+    replicas: tuple[str, ...] = ()
+    ballot: Ballot = NO_BALLOT
+    highest_seen: Ballot = NO_BALLOT
     promises: dict[str, wire.Promised] = field(default_factory=dict)
     refusals: dict[str, wire.Refused] = field(default_factory=dict)
     written: dict[str, int] = field(default_factory=dict)  # keepers, and the generation of each
@@ -168,12 +172,15 @@
     found: Work | None = None
     owner: str = ""
     sent_ms: float = 0.0
-    pause_ms: float = RESEND_MS
-    wrote: bool = False  # its intent, as that of a new record
-    soon: bool = False  # nobody waits for it
+    resend_after_ms: float = RESEND_MS
+    wrote_prepared: bool = False  # its intent, as that of a new record
+    deferrable: bool = False  # nobody waits for it
     yields: int = 0  # to other ballots
 
     def join(self, number: int, soon_ms: float, until_ms: float) -> None:
         """One more waits for what comes of it."""
-        self.numbers.append(number)
-        self.soon_ms, self.until_ms = max(self.soon_ms, soon_ms), max(self.until_ms, until_ms)
+        self.callers.append(number)
+        self.deadline_ms, self.owned_deadline_ms = (
+            max(self.deadline_ms, soon_ms),
+            max(self.owned_deadline_ms, until_ms),
+        )
--- a/cloverhinge/ownership/register.py
+++ b/cloverhinge/ownership/register.py
@@ -17,11 +17,13 @@
 
 # A counter that only grows, who proposes, and how often it has written under the two: these are its *term*.
 Ballot = tuple[int, str, int]
-NONE: Ballot = (0, "", 0)
-CLAIM = 1  # the counter of claims without a question: below all others, so that one which a keeper took alone
+NO_BALLOT: Ballot = (0, "", 0)
+CLAIM_COUNTER = (
+    1  # the counter of claims without a question: below all others, so that one which a keeper took alone
+)
 # hides nothing that was written after a question
-PAST_MOST = 8  # earlier owners that a record names
-BODY_MOST = 4096  # bytes of the fronts' own: an RTSP answer and what was asked
+MAX_PAST_OWNERS = 8  # earlier owners that a record names
+MAX_BODY_BYTES = 4096  # bytes of the fronts' own: an RTSP answer and what was asked
 
 
 class Phase(IntEnum):
@@ -34,7 +36,7 @@
     DOOMED = 4  # it has failed; what an earlier owner may have left at a box is still to be released
 
 
-ACTING = (Phase.INTENT, Phase.STANDS, Phase.DOOMED)
+ACTIVE_PHASES = (Phase.INTENT, Phase.STANDS, Phase.DOOMED)
 
 
 class Work(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -44,20 +46,24 @@
     epoch: Annotated[int, Meta(ge=0)]  # one more with each owner
     phase: Phase
     paid: bool
-    body: Annotated[bytes, Meta(max_length=BODY_MOST)] = b""  # class, title, box, rung, token and the like
-    past: Annotated[tuple[str, ...], Meta(max_length=PAST_MOST)] = ()  # owners before, the last one last
+    body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)] = (
+        b""  # class, title, box, rung, token and the like
+    )
+    past_owners: Annotated[
+        tuple[str, ...], Meta(max_length=MAX_PAST_OWNERS)
+    ] = ()  # owners before, the last one last
 
 
 @dataclass(frozen=True, slots=True)
 class Slot:
     """What one keeper remembers of one record."""
 
-    promised: Ballot = NONE
-    accepted: Ballot = NONE
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
     work: Work | None = None
 
 
-EMPTY = Slot()
+EMPTY_SLOT = Slot()
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,31 +87,31 @@
     ballot: Ballot
     promised: Ballot
     owner: str = ""
-    left_ms: float = 0.0
+    lease_left_ms: float = 0.0
 
 
 Reply = Promise | Accepted | Denied
 
 
-def owned(work: Work | None) -> str:
+def active_owner(work: Work | None) -> str:
     """Who acts on the work; "" where nobody does."""
-    return work.owner if work is not None and work.phase in ACTING else ""
+    return work.owner if work is not None and work.phase in ACTIVE_PHASES else ""
 
 
-def prepare(slot: Slot, ballot: Ballot, asker: str, lease_left_ms: float) -> tuple[Slot, Reply]:
+def prepare(slot: Slot, ballot: Ballot, proposer: str, lease_left_ms: float) -> tuple[Slot, Reply]:
     """`lease_left_ms`: what is left here of the lease of the slot's owner.
 
     A ballot is its proposer's alone, so asked again with it the keeper says again what it has promised.
     """
-    owner = owned(slot.work)
-    if owner and owner != asker and lease_left_ms > 0.0:
+    owner = active_owner(slot.work)
+    if owner and owner != proposer and lease_left_ms > 0.0:
         return slot, Denied(ballot, slot.promised, owner, lease_left_ms)
     if ballot < slot.promised or ballot == slot.promised == slot.accepted:
         return slot, Denied(ballot, slot.promised)
     return replace(slot, promised=ballot), Promise(ballot, slot.accepted, slot.work)
 
 
-def accept(slot: Slot, ballot: Ballot, work: Work, new: bool = False) -> tuple[Slot, Reply]:
+def accept(slot: Slot, ballot: Ballot, work: Work, is_claim: bool = False) -> tuple[Slot, Reply]:
     """A ballot that was promised to another is void; one that was never asked about counts as promised.
 
     Whoever has a term, by the promises of a majority, writes on under it without asking: any other's ballot
@@ -115,8 +121,8 @@
     """
     if (
         ballot < slot.promised
-        or new
-        and slot.promised != NONE
+        or is_claim
+        and slot.promised != NO_BALLOT
         and slot.accepted != ballot
         or ballot == slot.accepted
         and work != slot.work
@@ -127,11 +133,11 @@
 
 def fenced(slot: Slot, owner: str) -> bool:
     """Whether the owner must not act on this slot's word: another has been promised it, or has it."""
-    return owned(slot.work) != owner or slot.promised != slot.accepted
+    return active_owner(slot.work) != owner or slot.promised != slot.accepted
 
 
-def majority(keepers: int) -> int:
-    return keepers // 2 + 1
+def majority(replicas: int) -> int:
+    return replicas // 2 + 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -143,18 +149,18 @@
     """
 
     ballot: Ballot
-    keepers: int
+    replicas: int
     promises: tuple[tuple[int, Promise], ...] = ()
     work: Work | None = None  # what it writes, once that is decided
     written: frozenset[int] = frozenset()
 
     @property
     def prepared(self) -> bool:
-        return len(self.promises) >= majority(self.keepers)
+        return len(self.promises) >= majority(self.replicas)
 
     @property
     def chosen(self) -> bool:
-        return self.work is not None and len(self.written) >= majority(self.keepers)
+        return self.work is not None and len(self.written) >= majority(self.replicas)
 
     @property
     def found(self) -> Work | None:
@@ -162,7 +168,7 @@
         newest = max((x for _, x in self.promises), key=lambda x: x.accepted, default=None)
         return None if newest is None else newest.work
 
-    def heard(self, keeper: int, reply: Reply) -> Proposal:
+    def receive(self, keeper: int, reply: Reply) -> Proposal:
         """Replies to other ballots, and second ones, change nothing."""
         if reply.ballot != self.ballot:
             return self
@@ -173,17 +179,17 @@
             return replace(self, written=self.written | {keeper})
         return self
 
-    def writes(self, work: Work) -> Proposal:
+    def with_value(self, work: Work) -> Proposal:
         return replace(self, work=work, promises=())
 
 
-def follows(work: Work, owner: str, **changed: object) -> Work:
+def with_next_owner(work: Work, owner: str, **changed: object) -> Work:
     """The same work with its next owner."""
-    past = (*work.past, work.owner)[-PAST_MOST:]
+    past = (*work.past_owners, work.owner)[-MAX_PAST_OWNERS:]
     return msgspec.structs.replace(work, owner=owner, epoch=work.epoch + 1, past=past, **changed)
 
 
-def taken_over(found: Work | None, asker: str, intent: Work) -> Work:
+def value_after_takeover(found: Work | None, asker: str, intent: Work) -> Work:
     """What a router that found `found`, with its owner's lease over, may make of the record.
 
     A paid intent may have left: it is never sent again, and its answer will be a failure.  An answer
@@ -194,17 +200,17 @@
     if found.phase in (Phase.FAILED, Phase.OVER):
         if found.paid:
             return found
-        return follows(found, asker, phase=intent.phase, body=intent.body)
+        return with_next_owner(found, asker, phase=intent.phase, body=intent.body)
     if found.owner == asker:
         return found
     if found.phase is Phase.INTENT and found.paid:
-        return follows(found, asker, phase=Phase.DOOMED)
-    return follows(found, asker)
+        return with_next_owner(found, asker, phase=Phase.DOOMED)
+    return with_next_owner(found, asker)
 
 
-def may_act(work: Work, own: str, written: frozenset[int], granted: frozenset[int], keepers: int) -> bool:
+def may_act(work: Work, own: str, written: frozenset[int], granted: frozenset[int], replicas: int) -> bool:
     """Whether the owner may act now: a majority of keepers hold its value, unfenced, under leases that run.
 
     Any other's majority meets this one in a keeper that denies it until that lease is over.
     """
-    return work.owner == own and len(written & granted) >= majority(keepers)
+    return work.owner == own and len(written & granted) >= majority(replicas)
--- a/cloverhinge/ownership/replica.py
+++ b/cloverhinge/ownership/replica.py
@@ -7,82 +7,86 @@
 from sortedcontainers import SortedDict
 
 from cloverhinge.ownership import register, wire
-from cloverhinge.ownership.placement import lowest
-from cloverhinge.ownership.register import EMPTY, Ballot, Phase, Slot, Work
-from cloverhinge.ownership.wire import Why
+from cloverhinge.ownership.placement import first_counter
+from cloverhinge.ownership.register import EMPTY_SLOT, Ballot, Phase, Slot, Work
+from cloverhinge.ownership.wire import RefusalReason
 
-SLOTS_MOST = 65_536  # records kept: of 50,000 sessions, and a third as many that are over
-GENERATIONS = 1 << 20  # a roster's generations of leases: above all that earlier rosters' could reach
+MAX_SLOTS = 65_536  # records kept: of 50,000 sessions, and a third as many that are over
+GENERATIONS_PER_REPLICA_SET = (
+    1 << 20
+)  # a roster's generations of leases: above all that earlier rosters' could reach
 
 
-class Keeper:
+class Replica:
     """`lease_ms` for a lease; `lasts_ms` for which an answer that stays, or a mere promise, is kept."""
 
-    def __init__(self, lease_ms: float, lasts_ms: float, most: int = SLOTS_MOST) -> None:
-        self.lease_ms, self.lasts_ms, self.most = lease_ms, lasts_ms, most
+    def __init__(self, lease_ms: float, lasts_ms: float, most: int = MAX_SLOTS) -> None:
+        self.lease_ms, self.retention_ms, self.max_slots = lease_ms, lasts_ms, most
         self.slots: dict[str, Slot] = {}
-        self.of_owner: dict[str, set[str]] = {}
-        self.leases: dict[str, float] = {}  # whose, until when
+        self.ids_by_owner: dict[str, set[str]] = {}
+        self.lease_ends_ms: dict[str, float] = {}  # whose, until when
         self.generations: dict[str, int] = {}
-        self.first = 0  # the roster's first generation
+        self.first_generation = 0  # the roster's first generation
         self._lapsing: SortedDict[tuple[float, str], None] = SortedDict()
         self._lapses: dict[str, float] = {}
-        self.changed: dict[str, None] | None = None  # ids of slots, where somebody writes down what changes
+        self.changed_ids: dict[str, None] | None = (
+            None  # ids of slots, where somebody writes down what changes
+        )
 
     def load(self, now: float, slots: Mapping[str, Slot]) -> None:
         """From before a restart.  Leases that were granted then are not known: all may run for their time."""
         for id, slot in slots.items():
             self._put(now, id, slot)
-        for owner in self.of_owner:
-            self.leases[owner] = now + self.lease_ms
+        for owner in self.ids_by_owner:
+            self.lease_ends_ms[owner] = now + self.lease_ms
 
-    def lease_left(self, owner: str, now: float) -> float:
-        return max(0.0, self.leases.get(owner, 0.0) - now)
+    def lease_left_ms(self, owner: str, now: float) -> float:
+        return max(0.0, self.lease_ends_ms.get(owner, 0.0) - now)
 
-    def renew(self, now: float, owner: str, generation: int) -> bool:
+    def renew_lease(self, now: float, owner: str, generation: int) -> bool:
         if generation != self.generation(owner):
             return False
-        self.leases[owner] = now + self.lease_ms
+        self.lease_ends_ms[owner] = now + self.lease_ms
         return True
 
     def generation(self, owner: str) -> int:
-        return self.generations.get(owner, self.first)
+        return self.generations.get(owner, self.first_generation)
 
     def prepare(self, now: float, who: str, ask: wire.Prepare, hole: bool) -> wire.Items:
-        slot = self.slots.get(ask.id, EMPTY)
-        if ask.id not in self.slots and len(self.slots) >= self.most:
-            return wire.Refused(ask.id, ask.ballot, Why.FULL)
-        owner = register.owned(slot.work)
-        after, reply = register.prepare(slot, ask.ballot, who, self.lease_left(owner, now))
+        slot = self.slots.get(ask.id, EMPTY_SLOT)
+        if ask.id not in self.slots and len(self.slots) >= self.max_slots:
+            return wire.Refused(ask.id, ask.ballot, RefusalReason.FULL)
+        owner = register.active_owner(slot.work)
+        after, reply = register.prepare(slot, ask.ballot, who, self.lease_left_ms(owner, now))
         if isinstance(reply, register.Promise):
             self._put(now, ask.id, after)
             if owner and owner != who:
                 self._fence(owner)
             return wire.Promised(ask.id, ask.ballot, reply.accepted, reply.work, hole)
         assert isinstance(reply, register.Denied)
-        why = Why.LEASE if reply.owner else Why.BALLOT
-        return wire.Refused(ask.id, ask.ballot, why, reply.promised, reply.owner, reply.left_ms)
+        why = RefusalReason.LEASE if reply.owner else RefusalReason.BALLOT
+        return wire.Refused(ask.id, ask.ballot, why, reply.promised, reply.owner, reply.lease_left_ms)
 
     def write(self, now: float, who: str, told: wire.Write, hole: bool) -> wire.Items:
-        slot = self.slots.get(told.id, EMPTY)
-        if slot is EMPTY and len(self.slots) >= self.most:
-            return wire.Refused(told.id, told.ballot, Why.FULL)
-        if hole and told.new:
-            return wire.Refused(told.id, told.ballot, Why.HOLE)
-        after, reply = register.accept(slot, told.ballot, told.work, told.new)
+        slot = self.slots.get(told.id, EMPTY_SLOT)
+        if slot is EMPTY_SLOT and len(self.slots) >= self.max_slots:
+            return wire.Refused(told.id, told.ballot, RefusalReason.FULL)
+        if hole and told.is_claim:
+            return wire.Refused(told.id, told.ballot, RefusalReason.HOLE)
+        after, reply = register.accept(slot, told.ballot, told.work, told.is_claim)
         if isinstance(reply, register.Accepted):
-            was = register.owned(slot.work)
+            was = register.active_owner(slot.work)
             self._put(now, told.id, after)
             if was and was not in (told.work.owner, who):
                 self._fence(was)
             return wire.Written(told.id, told.ballot, self.generation(who))
         assert isinstance(reply, register.Denied)
-        return wire.Refused(told.id, told.ballot, Why.BALLOT, reply.promised)
+        return wire.Refused(told.id, told.ballot, RefusalReason.BALLOT, reply.promised)
 
     def withdraw(self, now: float, told: wire.Withdraw) -> None:
         """Its promise stays, so that no late copy of the claim is taken."""
-        slot = self.slots.get(told.id, EMPTY)
-        if slot.accepted == told.ballot and told.ballot[0] == register.CLAIM and told.ballot[2] == 0:
+        slot = self.slots.get(told.id, EMPTY_SLOT)
+        if slot.accepted == told.ballot and told.ballot[0] == register.CLAIM_COUNTER and told.ballot[2] == 0:
             self._put(now, told.id, Slot(slot.promised))
 
     def _fence(self, owner: str) -> None:
@@ -92,25 +96,25 @@
     def _put(self, now: float, id: str, slot: Slot) -> None:
         self.forget(id)
         self.slots[id] = slot
-        if self.changed is not None:
-            self.changed[id] = None
+        if self.changed_ids is not None:
+            self.changed_ids[id] = None
         if slot.work is not None:
-            self.of_owner.setdefault(slot.work.owner, set()).add(id)
+            self.ids_by_owner.setdefault(slot.work.owner, set()).add(id)
         if slot.work is None or slot.work.phase in (Phase.FAILED, Phase.OVER):
-            self._lapses[id] = now + self.lasts_ms
-            self._lapsing[now + self.lasts_ms, id] = None
+            self._lapses[id] = now + self.retention_ms
+            self._lapsing[now + self.retention_ms, id] = None
 
     def _leave(self, owner: str, id: str) -> None:
-        ids = self.of_owner.get(owner)
+        ids = self.ids_by_owner.get(owner)
         if ids is not None:
             ids.discard(id)
             if not ids:
-                del self.of_owner[owner]
+                del self.ids_by_owner[owner]
 
     def forget(self, id: str) -> None:
         slot = self.slots.pop(id, None)
-        if slot is not None and self.changed is not None:
-            self.changed[id] = None
+        if slot is not None and self.changed_ids is not None:
+            self.changed_ids[id] = None
         if slot is not None and slot.work is not None:
             self._leave(slot.work.owner, id)
         if (lapses := self._lapses.pop(id, None)) is not None:
@@ -120,40 +124,44 @@
         for id in list(self.slots):
             self.forget(id)
 
-    def lapse(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Answers and promises that have been kept for long enough; leases long over."""
         while self._lapsing and self._lapsing.peekitem(0)[0][0] <= now:
             self.forget(self._lapsing.peekitem(0)[0][1])
-        for owner in [x for x, until in self.leases.items() if until + self.lasts_ms < now]:
-            del self.leases[owner]  # its generation stays: it may come back with the one that was ended
+        for owner in [x for x, until in self.lease_ends_ms.items() if until + self.retention_ms < now]:
+            del self.lease_ends_ms[
+                owner
+            ]  # its generation stays: it may come back with the one that was ended
 
     # From one roster to the next
 
-    def enter(self, number: int) -> None:
-        self.first = number * GENERATIONS
+    def enter_replica_set(self, number: int) -> None:
+        self.first_generation = number * GENERATIONS_PER_REPLICA_SET
         self.generations.clear()
 
-    def told(self, ids: Iterable[str]) -> list[wire.Told]:
+    def export_slots(self, ids: Iterable[str]) -> list[wire.TransferredSlot]:
         return [(x, self.slots[x].promised, self.slots[x].accepted, self.slots[x].work) for x in ids]
 
-    def merge(self, now: float, told: list[wire.Told], leases: list[tuple[str, float]]) -> None:
+    def merge_transfer(
+        self, now: float, told: list[wire.TransferredSlot], leases: list[tuple[str, float]]
+    ) -> None:
         """The newest of what the old keepers held; a lease runs on for the longest that any of them told."""
         for id, promised, accepted, work in told:
-            held = self.slots.get(id, EMPTY)
+            held = self.slots.get(id, EMPTY_SLOT)
             newer = Slot(
                 max(held.promised, promised),
                 *((accepted, work) if accepted > held.accepted else (held.accepted, held.work)),
             )
-            if newer != held and (id in self.slots or len(self.slots) < self.most):
+            if newer != held and (id in self.slots or len(self.slots) < self.max_slots):
                 self._put(now, id, newer)
         for owner, left in leases:
             until = now + min(left, self.lease_ms)
-            self.leases[owner] = max(until, self.leases.get(owner, 0.0))
+            self.lease_ends_ms[owner] = max(until, self.lease_ends_ms.get(owner, 0.0))
 
 
-def intent(owner: str, paid: bool, body: bytes) -> Work:
+def prepared_record(owner: str, paid: bool, body: bytes) -> Work:
     return Work(owner, 1, Phase.INTENT, paid, body)
 
 
-def above(ballot: Ballot, number: int, own: str) -> Ballot:
-    return max(ballot[0], lowest(number)) + 1, own, 0
+def next_ballot(ballot: Ballot, number: int, own: str) -> Ballot:
+    return max(ballot[0], first_counter(number)) + 1, own, 0
--- a/cloverhinge/ownership/replica_store.py
+++ b/cloverhinge/ownership/replica_store.py
@@ -8,7 +8,7 @@
 
 from twisted.logger import Logger
 
-from cloverhinge.ownership.persistence import Persist, Recall, Stands
+from cloverhinge.ownership.persistence import Persist, ReplicaPersistence, StoreState
 from cloverhinge.ownership.wire import Member
 from cloverhinge.store import Mark
 from cloverhinge.store.folder import Folder, Unusable
@@ -38,21 +38,21 @@
         self.commits, self.slowest_ms, self.last_ms = 0, 0.0, 0.0
         self.recall = self._open()
 
-    def _open(self) -> Recall:
+    def _open(self) -> ReplicaPersistence:
         try:
             told = self.folder.open()
         except Unusable as error:
             self.log.error("{name}: store: {why}", name=self.own.name, why=str(error))
-            return Recall.out(self.own, str(error))
+            return ReplicaPersistence.unusable(self.own, str(error))
         if told.void:
             self.log.error("{name}: store: {why}", name=self.own.name, why=told.void)
         try:
-            recall = Recall.of(self.own, told.claim, told.mark, told.rows)
+            recall = ReplicaPersistence.from_folder(self.own, told.claim, told.mark, told.rows)
         except ValueError as error:
             self.folder.close()
             why = f"{self.path} holds what this version does not know: {error}"
             self.log.error("{name}: store: {why}", name=self.own.name, why=why)
-            return Recall.out(self.own, why)
+            return ReplicaPersistence.unusable(self.own, why)
         self.log.info(
             "{name}: store: {path}, generation {generation}, {rows} rows",
             name=self.own.name,
@@ -75,13 +75,13 @@
     def status(self) -> dict[str, Any]:
         recall = self.recall
         return {
-            "state": recall.stands.name.lower(),
-            "why": recall.why,
+            "state": recall.state.name.lower(),
+            "why": recall.unusable_reason,
             "folder": str(self.path),
             "generation": recall.mark.generation,
             "position": recall.mark.position,
             "rows": self.folder.rows,
-            "waiting": recall.last - recall.safe,
+            "waiting": recall.last_number - recall.durable_number,
             "commits": self.commits,
             "last_ms": round(self.last_ms, 1),
             "slowest_ms": round(self.slowest_ms, 1),
@@ -90,7 +90,7 @@
 
     def _waits_for(self) -> str:
         judge = self.recall.judge
-        if self.recall.stands is not Stands.JUDGING or judge is None:
+        if self.recall.state is not StoreState.JUDGING or judge is None:
             return ""
         silent = ", ".join(sorted(judge.names - judge.words.keys() - {judge.own}))
         return f"the word of {judge.lacking} of {silent}"
--- a/cloverhinge/ownership/replicated_work.py
+++ b/cloverhinge/ownership/replicated_work.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cloverhinge.core.model import Ask
+from cloverhinge.core.model import SetUpRequest
 from cloverhinge.ownership.register import Work
 
 
@@ -22,9 +22,9 @@
     peer: str = ""
     answer: bytes = b""
 
-    def ask(self, record: str = "") -> Ask:
+    def ask(self, record: str = "") -> SetUpRequest:
         """What its viewer asked for, as a front that goes on with it tells the core."""
-        return Ask(
+        return SetUpRequest(
             self.name,
             self.class_name,
             self.title,
@@ -33,9 +33,9 @@
             self.ceiling,
             0.0,
             length_ms=self.length_ms,
-            viewer=self.key,
-            peer=self.peer,
-            record=record,
+            viewer_id=self.key,
+            peer_address=self.peer,
+            record_id=record,
         )
 
 
--- a/cloverhinge/ownership/wire.py
+++ b/cloverhinge/ownership/wire.py
@@ -9,19 +9,19 @@
 import msgspec
 from msgspec import Meta
 
-from cloverhinge.members.wire import Bad, Name, Number
+from cloverhinge.members.wire import MessageError, Name, Number
 from cloverhinge.ownership.register import Ballot, Work
 
 T = TypeVar("T")
 
-MEMBERS_MOST = 128  # routers in a roster: one datagram of 1 KB holds a table of their names' digests, TCP all
-ID_MOST = 160  # characters of a record's id: a front's letter and the longest play id
-BATCH_BYTES = 900  # of items in one message, so that with the members' head it stays one datagram
-MINE_MOST = 32  # ids in an answer: with the longest still some 5 KB
-TELL_BYTES = 64 * 1024  # of slots in one part of a transfer: goes over TCP
+MAX_MEMBERS = 128  # routers in a roster: one datagram of 1 KB holds a table of their names' digests, TCP all
+MAX_ID_LENGTH = 160  # characters of a record's id: a front's letter and the longest play id
+MAX_BATCH_BYTES = 900  # of items in one message, so that with the members' head it stays one datagram
+MAX_LISTED_IDS = 32  # ids in an answer: with the longest still some 5 KB
+MAX_TRANSFER_BYTES = 64 * 1024  # of slots in one part of a transfer: goes over TCP
 
-Id = Annotated[str, Meta(min_length=1, max_length=ID_MOST)]
-Who = Annotated[str, Meta(max_length=96)]  # one run of one router: `Member.who`
+RecordId = Annotated[str, Meta(min_length=1, max_length=MAX_ID_LENGTH)]
+MemberId = Annotated[str, Meta(max_length=96)]  # one run of one router: `Member.who`
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True, order=True, forbid_unknown_fields=True):
@@ -30,7 +30,7 @@
     site: Annotated[str, Meta(max_length=64)] = ""
 
     @property
-    def who(self) -> str:
+    def member_id(self) -> str:
         return f"{self.name}#{self.run:x}"
 
 
@@ -38,7 +38,7 @@
     return who.partition("#")[0]
 
 
-Members = Annotated[tuple[Member, ...], Meta(max_length=MEMBERS_MOST)]
+Members = Annotated[tuple[Member, ...], Meta(max_length=MAX_MEMBERS)]
 
 
 class Hole(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -47,26 +47,28 @@
 
     number: Number
     members: Members
-    missing: Annotated[tuple[Who, ...], Meta(max_length=MEMBERS_MOST)]
+    missing: Annotated[tuple[MemberId, ...], Meta(max_length=MAX_MEMBERS)]
 
 
-class Roster(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class ReplicaSet(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """Whose majority keeps records.  `sources` are those who have to tell what they hold before it votes."""
 
     lineage: Number
     number: Number
     members: Members
-    born: Annotated[tuple[Number, ...], Meta(max_length=MEMBERS_MOST)]  # incarnations that they had then
+    incarnations: Annotated[
+        tuple[Number, ...], Meta(max_length=MAX_MEMBERS)
+    ]  # incarnations that they had then
     sources: Members = ()
     holes: Annotated[tuple[Hole, ...], Meta(max_length=16)] = ()
 
 
-class Why(IntEnum):
+class RefusalReason(IntEnum):
     BALLOT = 0  # a higher one was promised
     LEASE = 1  # the owner's lease runs
     HOLE = 2  # the record may have been lost: ask, don't claim
     FULL = 3
-    ROSTER = 4  # this keeper does not vote in that roster, or not yet
+    REPLICA_SET = 4  # this keeper does not vote in that roster, or not yet
 
 
 class Item(msgspec.Struct, array_like=True, frozen=True):
@@ -74,12 +76,12 @@
 
 
 class Prepare(Item, tag=1, frozen=True):
-    id: Id
+    id: RecordId
     ballot: Ballot
 
 
 class Promised(Item, tag=2, frozen=True):
-    id: Id
+    id: RecordId
     ballot: Ballot
     accepted: Ballot
     work: Work | None
@@ -87,164 +89,166 @@
 
 
 class Write(Item, tag=3, frozen=True):
-    id: Id
+    id: RecordId
     ballot: Ballot
     work: Work
-    new: bool = False  # see `register.accept`
-    soon: bool = False  # nobody waits for it: its answer may travel with others
+    is_claim: bool = False  # see `register.accept`
+    deferrable: bool = False  # nobody waits for it: its answer may travel with others
 
 
 class Written(Item, tag=4, frozen=True):
     """Counts while `generation` is that of the asker's lease here: a fence since then voids it."""
 
-    id: Id
+    id: RecordId
     ballot: Ballot
     generation: Number
 
 
 class Refused(Item, tag=5, frozen=True):
-    id: Id
+    id: RecordId
     ballot: Ballot
-    why: Why
+    reason: RefusalReason
     promised: Ballot = (0, "", 0)
-    owner: Who = ""
-    left_ms: float = 0.0
+    owner: MemberId = ""
+    lease_left_ms: float = 0.0
 
 
-class Hi(Item, tag=6, frozen=True):
+class LeaseRequest(Item, tag=6, frozen=True):
     """Asks for a lease, and tells which roster holds here; sent to all at a pace."""
 
     seq: Number
     generation: Number  # of the asked one's leases for this router, as far as it is known
-    active: bool  # votes in its roster
-    lived: bool  # others remember an earlier run of its name
+    votes: bool  # votes in its roster
+    earlier_run_known: bool  # others remember an earlier run of its name
     leaving: bool = False
-    stands: Annotated[int, Meta(ge=0, le=3)] = 0  # `recall.Stands`
-    lives: Annotated[tuple[Who, ...], Meta(max_length=16)] = ()  # runs in its roster that it speaks for
+    store_state: Annotated[int, Meta(ge=0, le=3)] = 0  # `recall.Stands`
+    represented_runs: Annotated[
+        tuple[MemberId, ...], Meta(max_length=16)
+    ] = ()  # runs in its roster that it speaks for
 
 
-class Granted(Item, tag=7, frozen=True):
-    of: Number
+class LeaseGranted(Item, tag=7, frozen=True):
+    seq: Number
     generation: Number
-    owned: Number  # records of the asker's that are kept here
+    record_count: Number  # records of the asker's that are kept here
 
 
-class Lapsed(Item, tag=8, frozen=True):
+class LeaseLapsed(Item, tag=8, frozen=True):
     """No lease for that generation: what was counted as written here has to be written again."""
 
-    of: Number
+    seq: Number
     generation: Number
 
 
-class RosterAsk(Item, tag=9, frozen=True):
+class ReplicaSetPrepare(Item, tag=9, frozen=True):
     """`number` is the roster whose members are asked for the next one."""
 
     number: Number
     ballot: Ballot
 
 
-class RosterPromised(Item, tag=10, frozen=True):
+class ReplicaSetPromised(Item, tag=10, frozen=True):
     number: Number
     ballot: Ballot
     accepted: Ballot
-    value: Roster | None
+    value: ReplicaSet | None
 
 
-class RosterWrite(Item, tag=11, frozen=True):
+class ReplicaSetWrite(Item, tag=11, frozen=True):
     number: Number
     ballot: Ballot
-    value: Roster
+    value: ReplicaSet
 
 
-class RosterWritten(Item, tag=12, frozen=True):
+class ReplicaSetWritten(Item, tag=12, frozen=True):
     number: Number
     ballot: Ballot
 
 
-class RosterRefused(Item, tag=13, frozen=True):
+class ReplicaSetRefused(Item, tag=13, frozen=True):
     number: Number
     ballot: Ballot
     promised: Ballot
 
 
-class Known(Item, tag=14, frozen=True):
-    roster: Roster
+class ReplicaSetAnnouncement(Item, tag=14, frozen=True):
+    replica_set: ReplicaSet
 
 
-Told = tuple[Id, Ballot, Ballot, Work | None]  # id, promised, accepted, work
+TransferredSlot = tuple[RecordId, Ballot, Ballot, Work | None]  # id, promised, accepted, work
 
 
-class Tell(Item, tag=15, frozen=True):
+class TransferPart(Item, tag=15, frozen=True):
     """A part of all that one keeper holds for another, when a roster follows another."""
 
     number: Number
     part: Number
     parts: Number
-    slots: list[Told]
-    leases: list[tuple[Who, float]]  # whose, and for how many ms more
+    slots: list[TransferredSlot]
+    leases: list[tuple[MemberId, float]]  # whose, and for how many ms more
 
 
-class Heard(Item, tag=16, frozen=True):
+class TransferAck(Item, tag=16, frozen=True):
     number: Number
     part: Number
 
 
-class GiveMe(Item, tag=17, frozen=True):
+class HandOverRequest(Item, tag=17, frozen=True):
     """A viewer of this record's came here: hand it over."""
 
-    id: Id
+    id: RecordId
 
 
-class Given(Item, tag=18, frozen=True):
-    id: Id
+class HandOver(Item, tag=18, frozen=True):
+    id: RecordId
     ballot: Ballot
     work: Work
 
 
-class NotGiven(Item, tag=19, frozen=True):
+class HandOverRefused(Item, tag=19, frozen=True):
     """`open`: its set-up is under way, ask again; otherwise it is not here."""
 
-    id: Id
-    open: bool
+    id: RecordId
+    set_up_pending: bool
 
 
-class Thanks(Item, tag=20, frozen=True):
-    id: Id
+class HandOverAck(Item, tag=20, frozen=True):
+    id: RecordId
     ballot: Ballot
 
 
-class Seen(Item, tag=23, frozen=True):
+class LeaseNotGranted(Item, tag=23, frozen=True):
     """Heard, and no lease: this one does not vote now."""
 
-    of: Number
+    seq: Number
 
 
 class Withdraw(Item, tag=24, frozen=True):
     """A claim that not all have taken, and that is given up: as if it had not been taken here."""
 
-    id: Id
+    id: RecordId
     ballot: Ballot
 
 
-class Mine(Item, tag=21, frozen=True):
+class OwnedRecordsQuery(Item, tag=21, frozen=True):
     """Which records of mine do you keep, by id after this one?"""
 
-    after: Annotated[str, Meta(max_length=ID_MOST)]
+    after: Annotated[str, Meta(max_length=MAX_ID_LENGTH)]
 
 
-class Yours(Item, tag=22, frozen=True):
-    ids: Annotated[list[Id], Meta(max_length=MINE_MOST)]
+class OwnedRecordsPage(Item, tag=22, frozen=True):
+    ids: Annotated[list[RecordId], Meta(max_length=MAX_LISTED_IDS)]
     last: bool
 
 
-class Claim(Item, tag=25, frozen=True):
+class StoreClaim(Item, tag=25, frozen=True):
     """My store shows this mark: have you heard a later one?"""
 
     generation: Number
     position: Number
 
 
-class Word(Item, tag=26, frozen=True):
+class StoreClaimAnswer(Item, tag=26, frozen=True):
     """To a claim, or to a mark that came with a message though a later generation's was heard before."""
 
     generation: Number
@@ -260,31 +264,31 @@
     | Write
     | Written
     | Refused
-    | Hi
-    | Granted
-    | Lapsed
-    | RosterAsk
-    | RosterPromised
-    | RosterWrite
-    | RosterWritten
-    | RosterRefused
-    | Known
-    | Tell
-    | Heard
-    | GiveMe
-    | Given
-    | NotGiven
-    | Thanks
-    | Mine
-    | Yours
-    | Seen
+    | LeaseRequest
+    | LeaseGranted
+    | LeaseLapsed
+    | ReplicaSetPrepare
+    | ReplicaSetPromised
+    | ReplicaSetWrite
+    | ReplicaSetWritten
+    | ReplicaSetRefused
+    | ReplicaSetAnnouncement
+    | TransferPart
+    | TransferAck
+    | HandOverRequest
+    | HandOver
+    | HandOverRefused
+    | HandOverAck
+    | OwnedRecordsQuery
+    | OwnedRecordsPage
+    | LeaseNotGranted
     | Withdraw
-    | Claim
-    | Word
+    | StoreClaim
+    | StoreClaimAnswer
 )
 
 
-class Body(msgspec.Struct, array_like=True, frozen=True):
+class Message(msgspec.Struct, array_like=True, frozen=True):
     """The sender's roster, what it says, and its store's mark, where it has one."""
 
     lineage: Number
@@ -294,7 +298,7 @@
     position: Number = 0
 
 
-class Packed(msgspec.Struct, array_like=True, frozen=True):
+class EncodedMessage(msgspec.Struct, array_like=True, frozen=True):
     """A body whose items are encoded already."""
 
     lineage: int
@@ -305,7 +309,7 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
+_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 def pack(item: object) -> msgspec.Raw:
@@ -313,31 +317,31 @@
 
 
 def encode(lineage: int, number: int, items: list[msgspec.Raw], mark: tuple[int, int] = (0, 0)) -> bytes:
-    return _encoder.encode(Packed(lineage, number, items, *mark))
+    return _encoder.encode(EncodedMessage(lineage, number, items, *mark))
 
 
 def size(item: object) -> int:
     return len(_encoder.encode(item))
 
 
-def batches(items: Iterable[T], size: Callable[[T], int], most: int) -> Iterator[list[T]]:
+def batches(items: Iterable[T], size: Callable[[T], int], max_bytes: int) -> Iterator[list[T]]:
     """In order, each of `most` bytes at the most; one that is larger goes alone."""
     batch: list[T] = []
-    room = most
+    room = max_bytes
     for item in items:
         taken = size(item)
         if batch and taken > room:
             yield batch
-            batch, room = [], most
+            batch, room = [], max_bytes
         batch.append(item)
         room -= taken
     if batch:
         yield batch
 
 
-def decode(told: bytes) -> Body:
+def decode(data: bytes) -> Message:
     """Raises Bad."""
     try:
-        return _decoder.decode(told)
+        return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Bad("malformed", f"it can't be read: {error}") from None
+        raise MessageError("malformed", f"it can't be read: {error}") from None
--- a/cloverhinge/rtsp/client_connection.py
+++ b/cloverhinge/rtsp/client_connection.py
@@ -77,7 +77,7 @@
         unread = None if self.gone else self.peek()
         if self.gone or unread == b"":
             return Presence.GONE
-        return Presence.UNREAD if unread else Presence.THERE
+        return Presence.UNREAD if unread else Presence.PRESENT
 
     def half_close(self) -> None:
         """Nothing more is written; what comes is read until the viewer closes too."""
@@ -110,11 +110,11 @@
             self.queue.cancel(name)
             self.front.intake.cancel(name)
             self.send(messages.response(200, cseq, name))
-            request = self.front.router.by_name.get(name)
-            if request is not None and isinstance(request.viewer, RtspClient):
-                request.viewer.answered()
-                request.viewer.stands(False)
-                self.front.router.leave(request)
+            request = self.front.router.by_session_id.get(name)
+            if request is not None and isinstance(request.client, RtspClient):
+                request.client.answered()
+                request.client.stands(False)
+                self.front.router.viewer_left(request)
         elif message.method == "OPTIONS":
             self.send(messages.response(200 if self.front.ready else 503, cseq, name))
         else:
--- a/cloverhinge/rtsp/front.py
+++ b/cloverhinge/rtsp/front.py
@@ -13,9 +13,9 @@
 
 from cloverhinge.core.clock import Clock
 from cloverhinge.core.deadlines import Deadlines
-from cloverhinge.core.model import Boxes, State
+from cloverhinge.core.model import ServerPort, State
 from cloverhinge.core.router import Router
-from cloverhinge.core.slots import Table
+from cloverhinge.core.slots import SlotTable
 from cloverhinge.discovery.updates import server_number
 from cloverhinge.rtsp import messages
 from cloverhinge.rtsp.client import RtspClient
@@ -37,9 +37,11 @@
     log = Logger()
     noisy = False
 
-    def __init__(self, router: Router, boxes: Boxes, clock: Clock, deadlines: Deadlines, most: int) -> None:
+    def __init__(
+        self, router: Router, boxes: ServerPort, clock: Clock, deadlines: Deadlines, most: int
+    ) -> None:
         self.router, self.boxes, self.clock, self.deadlines = router, boxes, clock, deadlines
-        self.connections: Table[ClientConnection] = Table(most)
+        self.connections: SlotTable[ClientConnection] = SlotTable(most)
         self.intake = Intake(deadlines)
         # Who makes room when the table is full: the first of the first that is not empty.
         self.silent: dict[int, ClientConnection] = {}  # by handle, the earliest taken first
@@ -59,7 +61,7 @@
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
         """Guards the descriptors: one that was told to make room is gone only in the reactor's next round."""
-        if self.open_connections >= self.connections.most * (1 + CLOSING_SHARE):
+        if self.open_connections >= self.connections.capacity * (1 + CLOSING_SHARE):
             return None
         return ClientConnection(self, str(getattr(addr, "host", "")))
 
@@ -109,7 +111,7 @@
         connection.queue.clear()
         for request in list(connection.open.values()):
             if request.state is State.OPEN:
-                self.router.leave(request)
+                self.router.viewer_left(request)
         connection.open.clear()
 
     def set_up(self, connection: ClientConnection, one: SetUp) -> None:
@@ -121,33 +123,36 @@
         if self.identify is not None:
             words = [message.headers.get(x, "") for x in ("x-client", "x-client-proof")]
             try:
-                client = self.identify(connection.peer, words[0], words[1], ask.name)
+                client = self.identify(connection.peer, words[0], words[1], ask.session_id)
             except ValueError as error:
-                connection.send(messages.response(403, "1", ask.name, {"X-Why": str(error)}))
+                connection.send(messages.response(403, "1", ask.session_id, {"X-Why": str(error)}))
                 return
             ask = replace(
-                ask, peer=connection.peer, client=client, ticket=message.headers.get("x-ticket", "")
+                ask,
+                peer_address=connection.peer,
+                client_number=client,
+                reservation_token=message.headers.get("x-ticket", ""),
             )
-        viewer = RtspClient(self, connection.handle, connection.peer, ask.name)
-        if self.kept_answer is not None and self._come_again(connection, ask.name, bool(at)):
+        viewer = RtspClient(self, connection.handle, connection.peer, ask.session_id)
+        if self.kept_answer is not None and self._come_again(connection, ask.session_id, bool(at)):
             return
         if at:
-            if self.router.carry(ask, server_number(at), viewer, self.boxes) is not None:
+            if self.router.adopt(ask, server_number(at), viewer, self.boxes) is not None:
                 viewer.stands(True)
-        elif ask.name in self.router.by_name:
-            connection.send(messages.response(455, "1", ask.name))
-        elif (request := self.router.take(ask, viewer, self.boxes)) is None:
+        elif ask.session_id in self.router.by_session_id:
+            connection.send(messages.response(455, "1", ask.session_id))
+        elif (request := self.router.open_request(ask, viewer, self.boxes)) is None:
             connection.send(
-                messages.response(503, "1", ask.name, {"X-Hold-Off": str(round(BUSY_HOLD_OFF_MS))})
+                messages.response(503, "1", ask.session_id, {"X-Hold-Off": str(round(BUSY_HOLD_OFF_MS))})
             )
         elif request.state is State.OPEN:
-            connection.open[ask.name] = request
+            connection.open[ask.session_id] = request
 
     def _come_again(self, connection: ClientConnection, name: str, stood: bool) -> bool:
         """Whether this is the viewer of a session that was taken over, or whose connection is gone."""
-        held = self.router.by_name.get(name)
-        viewer = None if held is None else held.viewer
-        if held is None or held.state is not State.STANDS or not isinstance(viewer, RtspClient):
+        held = self.router.by_session_id.get(name)
+        viewer = None if held is None else held.client
+        if held is None or held.state is not State.ESTABLISHED or not isinstance(viewer, RtspClient):
             return False
         before = self.connections.get(viewer.handle)
         if before is not None and not before.gone:
--- a/cloverhinge/rtsp/media_servers.py
+++ b/cloverhinge/rtsp/media_servers.py
@@ -91,7 +91,7 @@
 
     def give_up(self, attempt: Attempt) -> None:
         """Guards against looking at the successor alone: its server may have been listed anew since."""
-        name = attempt.request.ask.name
+        name = attempt.request.set_up.session_id
         for one in self._known_as(attempt.server):
             if attempt in one.waiting:
                 one.waiting.remove(attempt)
@@ -111,7 +111,7 @@
     def release(self, request: Request, cause: Cause) -> None:
         pool = self.pools.get(request.server or 0)
         if pool is not None:
-            pool.tell(release(request.ask.name, cause))
+            pool.tell(release(request.set_up.session_id, cause))
 
     def let_go(self, server: int, name: str) -> None:
         """What another router may have left there under this name."""
@@ -124,7 +124,11 @@
         if pool is not None:
             pool.tell(
                 messages.request(
-                    "SET_PARAMETER", "rtsp://media/session", 4, request.ask.name, {"X-Quality": str(rung)}
+                    "SET_PARAMETER",
+                    "rtsp://media/session",
+                    4,
+                    request.set_up.session_id,
+                    {"X-Quality": str(rung)},
                 )
             )
 
--- a/cloverhinge/rtsp/replicated_sessions.py
+++ b/cloverhinge/rtsp/replicated_sessions.py
@@ -22,7 +22,7 @@
         part.serve(LETTER, self)
 
     def answer(self, name: str) -> bytes:
-        work = self.part.core.look(f"{LETTER}/{name}")
+        work = self.part.core.known_work(f"{LETTER}/{name}")
         kept = None if work is None else read(work)
         return b"" if kept is None else kept.answer
 
@@ -30,13 +30,13 @@
         return text
 
     def held(self, id: str) -> Request | None:
-        return self.router.by_name.get(id[2:])
+        return self.router.by_session_id.get(id[2:])
 
     def wanted(self, id: str) -> bool:
-        return id[2:] in self.router.by_name
+        return id[2:] in self.router.by_session_id
 
     def adopt(self, id: str, kept: Kept) -> bool:
-        if kept.name in self.router.by_name:
+        if kept.name in self.router.by_session_id:
             return True  # it is here, or its viewer is, and is told of it
         viewer = RtspClient(self.front, 0, kept.peer, kept.name)
         request = self.part.carry(kept.ask(), kept, viewer, self.servers)
@@ -49,5 +49,5 @@
 
     def let_go(self, kept: Kept) -> None:
         """Not while a viewer of that very session is here: its set-up has the same name."""
-        if kept.name not in self.router.by_name:
+        if kept.name not in self.router.by_session_id:
             self.servers.let_go(kept.server, kept.name)
--- a/cloverhinge/rtsp/server_connection.py
+++ b/cloverhinge/rtsp/server_connection.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from cloverhinge.core.deadlines import Key
+from cloverhinge.core.deadlines import DeadlineKey
 from cloverhinge.core.model import Attempt
 from cloverhinge.net.buffered import UNREAD_MS
 from cloverhinge.rtsp import messages
@@ -27,7 +27,7 @@
     pool: ServerPool
     name: str
     started_ms: float
-    deadline: Key | None = None
+    deadline: DeadlineKey | None = None
 
 
 class ServerConnection(messages.RtspProtocol):
@@ -41,7 +41,7 @@
         self.attempts: dict[str, Attempt] = {}
         self.probes: dict[str, Probe] = {}
         self.whole: list[messages.Message] = []  # read, and not handed on yet
-        self.partial: Key | None = None
+        self.partial: DeadlineKey | None = None
 
     def connectionMade(self) -> None:
         super().connectionMade()
--- a/cloverhinge/rtsp/server_messages.py
+++ b/cloverhinge/rtsp/server_messages.py
@@ -26,7 +26,7 @@
         case "delivered":
             return api.DeliveredShare(request.handle, server, value)
         case "rung":
-            return api.RungInForce(request.handle, server, int(value))
+            return api.RungReported(request.handle, server, int(value))
         case "link":
             return api.LinkNote(request.handle, server, value)
         case "uplink":
--- a/cloverhinge/rtsp/server_pool.py
+++ b/cloverhinge/rtsp/server_pool.py
@@ -86,7 +86,7 @@
     @property
     def missed(self) -> bool:
         """None is open, and something waits for one, or sessions stand whose releases come on it."""
-        wanted = self.waiting or self.held or self.servers.router.standing.get(self.address.number)
+        wanted = self.waiting or self.held or self.servers.router.established.get(self.address.number)
         return self.listed and not self.connections and not self.opening and bool(wanted)
 
     def replace(self) -> None:
@@ -150,7 +150,7 @@
         if not refused:
             return
         self.refused_ms = self.refused_ms or now
-        standing = len(self.servers.router.standing.get(self.address.number, ()))
+        standing = len(self.servers.router.established.get(self.address.number, ()))
         # Guards against cutting what plays at a server that takes no more connections: only where one to it
         # was reset before does a refusal show at once that no process is there.
         if standing and (self.reset or now - self.refused_ms >= REFUSED_MS):
@@ -177,7 +177,7 @@
             self.open()
         for attempt in attempts:
             # It may have run, and may stand there for nobody.
-            self.tell(release(attempt.request.ask.name, Cause.CANCELLED))
+            self.tell(release(attempt.request.set_up.session_id, Cause.CANCELLED))
             self.servers.router.attempt_ended(attempt, Outcome.RESET)
         for probe in probes:
             self.servers.probe_ended(probe, Outcome.RESET)
@@ -189,15 +189,17 @@
             return
         if not self.servers.router.may_write(one):
             return
-        ask = one.request.ask
-        connection.attempts[ask.name], connection.used_ms = one, self.servers.clock.now()
+        ask = one.request.set_up
+        connection.attempts[ask.session_id], connection.used_ms = one, self.servers.clock.now()
         fields = {
             "X-Call-Class": ask.class_name,
             "X-Ring-Limit": str(max(1, round(one.until_ms - self.servers.clock.now()))),
         }
         if one.request.rung is not None:
             fields["X-Quality"] = str(one.request.rung)
-        connection.send(messages.request("SETUP", f"rtsp://media/{ask.title}", 1, ask.name, fields, ask.body))
+        connection.send(
+            messages.request("SETUP", f"rtsp://media/{ask.title}", 1, ask.session_id, fields, ask.body)
+        )
 
     def submit(self, one: Attempt | Probe) -> None:
         self.waiting.append(one)
@@ -259,7 +261,7 @@
                 router.attempt_ended(attempt, outcome, report_of(message))
         elif attempt is None or not router.answered(attempt, message.body):
             # Guards against a session that stands for nobody: its set-up was given up while this was coming.
-            standing = router.by_name.get(name)
+            standing = router.by_session_id.get(name)
             if (standing is None or standing.server != self.address.number) and not self.servers.handed_on(
                 name
             ):
@@ -267,7 +269,7 @@
 
     def told(self, connection: ServerConnection, message: messages.Message) -> None:
         name, router = message.session, self.servers.router
-        request = router.by_name.get(name)
+        request = router.by_session_id.get(name)
         if message.method == "TEARDOWN":
             connection.send(messages.response(200, message.headers.get("cseq", "2"), name))
             cause = message.headers.get("reason", "").partition("cause=")[2].strip()
@@ -276,16 +278,16 @@
             if attempt is not None:
                 router.attempt_ended(attempt, Outcome.RESET, report_of(message))
             elif request is not None and request.server == self.address.number:
-                router.session_over(request, outcome, report_of(message))
+                router.session_ended(request, outcome, report_of(message))
         elif message.method == "ANNOUNCE":
             if (
                 request is not None
-                and request.state is State.STANDS
+                and request.state is State.ESTABLISHED
                 and request.server == self.address.number
             ):
                 event = note_of(message, request, self.address.number)
                 if event is not None:
-                    router.note(request, event)
+                    router.session_event(request, event)
         elif message.method == "OPTIONS":
             connection.send(messages.response(200, message.headers.get("cseq", "3"), name))
 
@@ -305,7 +307,7 @@
                 self.retire(connection)
         if self.missed and now >= self.retry_at_ms:
             self.open()
-        if not self.servers.router.standing.get(self.address.number):
+        if not self.servers.router.established.get(self.address.number):
             self.heard_ms = now  # there is nothing to hear of
             for connection in [
                 x for x in self.connections if now - x.traffic_ms > IDLE_SHARE * self.servers.idle_ms
--- a/cloverhinge/rtsp/set_up.py
+++ b/cloverhinge/rtsp/set_up.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cloverhinge.core.model import Ask
+from cloverhinge.core.model import SetUpRequest
 from cloverhinge.rtsp import messages
 
 
@@ -11,7 +11,7 @@
     return "at" in messages.pairs(message.headers.get("x-dest", ""))
 
 
-def read_set_up(message: messages.Message) -> tuple[Ask, str]:
+def read_set_up(message: messages.Message) -> tuple[SetUpRequest, str]:
     """The request, and the id of the pump that it plays at already ('' = none)."""
     if not messages.SESSION.fullmatch(message.session):
         raise messages.Malformed("no session")
@@ -25,8 +25,8 @@
             raise messages.Malformed(f"{name} is no number")
         return int(text)
 
-    ask = Ask(
-        name=message.session,
+    ask = SetUpRequest(
+        session_id=message.session,
         class_name=message.headers.get("x-call-class", ""),
         title=message.uri[13:],
         first_cell=whole("home", 0),
@@ -35,7 +35,7 @@
         wait_ms=message.number("x-ring-limit", 0.0 if "at" in told else None),
         body=message.body,
         length_ms=message.number("x-guess", 0.0),
-        viewer=told.get("viewer", ""),
+        viewer_id=told.get("viewer", ""),
         returning=message.headers.get("x-again") == "1" or told.get("again") == "1",
     )
     return ask, told.get("at", "")
--- a/cloverhinge/shutdown.py
+++ b/cloverhinge/shutdown.py
@@ -23,13 +23,13 @@
 from cloverhinge.core.router import Router
 from cloverhinge.rtsp.front import Front
 
-ACCEPT_MS = 700.0  # requests keep coming for so long after SIGTERM at the most
-REST_PACE_MS = 10.0  # pace at which connections are looked at for a moment of rest
+MAX_ACCEPT_MS = 700.0  # requests keep coming for so long after SIGTERM at the most
+IDLE_POLL_MS = 10.0  # pace at which connections are looked at for a moment of rest
 KILL_MARGIN_MS = 650.0  # beyond the longest wait; the platform ends the process 700 ms after that
-TAKE_OVER_MS = 3000.0  # for other routers to take what this one owned: two leases
-TAKE_OVER_PACE_MS = 150.0  # pace at which that is looked at
+MAX_TAKE_OVER_MS = 3000.0  # for other routers to take what this one owned: two leases
+TAKE_OVER_POLL_MS = 150.0  # pace at which that is looked at
 FLUSH_MS = 50.0  # for what has been written at the end to leave
-ACCEPTED_MOST = 256  # connections taken from a listener's queue before it is closed: as many as it holds
+MAX_ACCEPTED = 256  # connections taken from a listener's queue before it is closed: as many as it holds
 
 
 class Phase(Enum):
@@ -68,11 +68,11 @@
     log = Logger()
 
     def __init__(
-        self, name: str, front: Front, router: Router, deadlines: Deadlines, longest_ms: float, hooks: Hooks
+        self, name: str, front: Front, router: Router, deadlines: Deadlines, max_wait_ms: float, hooks: Hooks
     ) -> None:
         """`longest_ms`: the longest that any client waits for an answer."""
         self.name, self.front, self.router, self.deadlines = name, front, router, deadlines
-        self.longest_ms, self.hooks = longest_ms, hooks
+        self.max_wait_ms, self.hooks = max_wait_ms, hooks
         self.phase = Phase.SERVING
         self.until_ms = 0.0
 
@@ -81,14 +81,16 @@
         if self.phase is not Phase.SERVING:
             return
         self.phase, self.front.ready = Phase.ACCEPTING, False
-        self.until_ms = self.deadlines.clock.now() + self.longest_ms + KILL_MARGIN_MS
-        self.log.info("{name}: told to end, {open} requests open", name=self.name, open=self.router.open)
+        self.until_ms = self.deadlines.clock.now() + self.max_wait_ms + KILL_MARGIN_MS
+        self.log.info(
+            "{name}: told to end, {open} requests open", name=self.name, open=self.router.open_requests
+        )
         if shared_listener:
             for listener in self.hooks.listeners():
                 listener.stopListening()  # what lies in its queue is the other process's
             self._close()
         else:
-            self.deadlines.after(ACCEPT_MS, self._stop_accepting)
+            self.deadlines.after(MAX_ACCEPT_MS, self._stop_accepting)
 
     def _stop_accepting(self) -> None:
         for listener in self.hooks.listeners():
@@ -98,7 +100,7 @@
 
     def _accept_all(self, listener: Listener) -> None:
         """Guards against resets of connections that were made while the process was busy."""
-        for _ in range(ACCEPTED_MOST):
+        for _ in range(MAX_ACCEPTED):
             before = self.front.open_connections
             listener.doRead()
             if self.front.open_connections == before:
@@ -112,29 +114,29 @@
     def _end_connections(self) -> None:
         now = self.deadlines.clock.now()
         left = self.front.close_at_rest(now)
-        if (left or self.front.open_connections or self.router.open) and now < self.until_ms:
-            self.deadlines.after(REST_PACE_MS, self._end_connections)
+        if (left or self.front.open_connections or self.router.open_requests) and now < self.until_ms:
+            self.deadlines.after(IDLE_POLL_MS, self._end_connections)
             return
         self.log.info(
             "{name}: ends, {left} connections and {open} requests left",
             name=self.name,
             left=self.front.open_connections,
-            open=self.router.open,
+            open=self.router.open_requests,
         )
         self.phase = Phase.LEAVING
         self.hooks.ended()
-        self._leave(now + TAKE_OVER_MS)
+        self._leave(now + MAX_TAKE_OVER_MS)
 
     def _leave(self, until_ms: float) -> None:
         if self.hooks.owns() and self.deadlines.clock.now() < until_ms:
-            self.deadlines.after(TAKE_OVER_PACE_MS, lambda: self._leave(until_ms))
+            self.deadlines.after(TAKE_OVER_POLL_MS, lambda: self._leave(until_ms))
         else:
             self.deadlines.after(FLUSH_MS, self._stop)
 
     def _stop(self) -> None:
         """A front that keeps its connections may have taken a request since."""
-        if self.router.open and self.deadlines.clock.now() < self.until_ms:
-            self.deadlines.after(REST_PACE_MS, self._stop)
+        if self.router.open_requests and self.deadlines.clock.now() < self.until_ms:
+            self.deadlines.after(IDLE_POLL_MS, self._stop)
             return
         self.phase = Phase.STOPPED
         self.hooks.stop()
--- a/cloverhinge/site/schema.py
+++ b/cloverhinge/site/schema.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from cloverhinge.core.config_values import ConfigError, address
+from cloverhinge.core.config_values import ConfigError, parse_address
 from cloverhinge.site.model import (
     AcmeSite,
     ClientSite,
@@ -176,7 +176,7 @@
 
 def where(text: str, path: str, lowest: int = 0) -> tuple[str, int]:
     try:
-        return address(text, lowest)
+        return parse_address(text, lowest)
     except ValueError as error:
         raise ValueError(f"{path}: {error}") from None
 
--- a/cloverhinge/wirehost.py
+++ b/cloverhinge/wirehost.py
@@ -27,10 +27,10 @@
     6: api.Outcome.CANCELLED,
     7: api.Outcome.MOOT,
 }
-MOVED_BIT, RETURN_BIT, HINT_BIT = 8, 16, 1
+MOVED_FLAG, RETURNING_FLAG, LENGTH_HINT_FLAG = 8, 16, 1
 
 # Every message name with the fewest values that it may carry.
-SHORTEST = {
+MIN_VALUES = {
     "born": 3,
     "down": 1,
     "roster": 2,
@@ -70,9 +70,9 @@
     return api.LoadReport(streams=stats.get("outstanding"), link=stats.get("x0"), uplink=stats.get("x1"))
 
 
-def parse_knock(v: list[Any]) -> api.SessionRequested:
+def parse_request(v: list[Any]) -> api.SessionRequested:
     (session, class_name, tenant, viewer, title, expires, length, first, copies, ceiling, bits) = v[:11]
-    return requested(
+    return build_request(
         session, class_name, tenant, viewer, title, expires, length, first, copies, ceiling, bits
     )
 
@@ -81,12 +81,12 @@
     (session, bits, tenant, viewer, ceiling, class_name, server, length, first, copies, expires, title) = v[
         :12
     ]
-    return requested(
+    return build_request(
         session, class_name, tenant, viewer, title, expires, length, first, copies, ceiling, bits, server
     )
 
 
-def requested(
+def build_request(
     session: int,
     class_name: str,
     tenant: Any,
@@ -111,9 +111,9 @@
         expires_us=int(expires or 0),
         tenant=str(tenant or ""),
         viewer=str(viewer or ""),
-        length_us=int(length or 0) if bits & HINT_BIT else 0,
-        returning=bool(bits & RETURN_BIT),
-        moved=bool(bits & MOVED_BIT),
+        length_us=int(length or 0) if bits & LENGTH_HINT_FLAG else 0,
+        returning=bool(bits & RETURNING_FLAG),
+        moved=bool(bits & MOVED_FLAG),
         server=server,
     )
 
@@ -123,7 +123,7 @@
     if what == 1:
         return api.DeliveredShare(session, server, float(amount))
     if what == 2:
-        return api.RungInForce(session, server, int(amount))
+        return api.RungReported(session, server, int(amount))
     if what == 3:
         return api.LinkNote(session, server, float(amount))
     if what == 4:
@@ -131,24 +131,24 @@
     return None  # a kind of note that this version does not know
 
 
-def parse_settled(v: list[Any]) -> api.AttemptEnded:
+def parse_attempt_ended(v: list[Any]) -> api.AttemptEnded:
     session, attempt, server, disposition, took, over, stats = (v + [None] * 3)[:7]
     return api.AttemptEnded(
         session, attempt, server, OUTCOMES[disposition], bool(over), int(took or 0), parse_report(stats)
     )
 
 
-def parse_probe(v: list[Any]) -> api.ProbeEnded:
+def parse_probe_ended(v: list[Any]) -> api.ProbeEnded:
     server, disposition, took, stats = (v + [None] * 2)[:4]
     return api.ProbeEnded(server, OUTCOMES[disposition], int(took or 0), parse_report(stats))
 
 
 PARSERS: dict[str, Callable[[list[Any]], api.Event | None]] = {
-    "knock": parse_knock,
+    "knock": parse_request,
     "carried": parse_carried,
     "interim": parse_note,
-    "settled": parse_settled,
-    "pingResult": parse_probe,
+    "settled": parse_attempt_ended,
+    "pingResult": parse_probe_ended,
     "noteFrom": lambda v: None,
     "first": lambda v: api.SessionStarted(v[0], v[1], int(v[3]) if len(v) > 3 and v[3] is not None else 0),
     "gone": lambda v: api.ViewerLeft(v[0]),
@@ -183,9 +183,9 @@
 
     def __init__(self) -> None:
         self.instances: dict[str, Controller] = {}
-        self.rosters: dict[int, tuple[api.ServerListing, ...]] = {}
+        self.server_lists: dict[int, tuple[api.ServerListing, ...]] = {}
 
-    def batch(self, line: str) -> str:
+    def handle_batch(self, line: str) -> str:
         """Answer one line of input with one line of output."""
         try:
             data = json.loads(line)
@@ -202,44 +202,46 @@
             if not isinstance(message, list) or not message or not isinstance(message[0], str):
                 raise WireError("a message is an array that begins with its name")
             tag, values = message[0], message[1:]
-            if tag not in SHORTEST:
+            if tag not in MIN_VALUES:
                 raise WireError(f"unknown message {tag[:40]!r}")
-            if len(values) < SHORTEST[tag]:
-                raise WireError(f"message {tag!r} is too short: {len(values)} of {SHORTEST[tag]} values")
+            if len(values) < MIN_VALUES[tag]:
+                raise WireError(f"message {tag!r} is too short: {len(values)} of {MIN_VALUES[tag]} values")
             try:
-                self.message(data["tsUs"], tag, values, decisions)
+                self.handle_message(data["tsUs"], tag, values, decisions)
             except (TypeError, ValueError, KeyError, IndexError, AttributeError) as error:
                 raise WireError(f"message {tag!r} is malformed: {error!r}") from error
         return json.dumps({"decisions": decisions}, separators=(",", ":"))
 
-    def message(self, now_us: int, tag: str, values: list[Any], decisions: list[list[Any]]) -> None:
+    def handle_message(self, now_us: int, tag: str, values: list[Any], decisions: list[list[Any]]) -> None:
         if tag == "roster":
-            self.rosters[values[0]] = tuple(parse_listing(row) for row in values[1])
+            self.server_lists[values[0]] = tuple(parse_listing(row) for row in values[1])
             return
         name = values[0]
         if tag == "born":
             settings, seed = parse_settings(values[2]), int(values[1])
-            self.guarded(name, decisions, lambda: self.start(name, settings, seed))
+            self.run_instance(name, decisions, lambda: self.start_instance(name, settings, seed))
         elif tag == "down":
             self.instances.pop(name, None)
         elif name in self.instances:
             event: api.Event | None
             if tag == "fleet":
                 kind = LIST_KINDS[values[1]]
-                rows = () if kind is api.ListKind.FAILED else self.rosters[values[3]]
+                rows = () if kind is api.ListKind.FAILED else self.server_lists[values[3]]
                 event = api.FleetUpdate(kind, rows)
             else:
                 event = PARSERS[tag](values[1:])
             if event is not None:
                 told = event
                 controller = self.instances[name]
-                self.guarded(name, decisions, lambda: controller.handle(now_us, told))
+                self.run_instance(name, decisions, lambda: controller.handle(now_us, told))
 
-    def start(self, name: str, settings: api.Settings, seed: int) -> list[api.Action]:
+    def start_instance(self, name: str, settings: api.Settings, seed: int) -> list[api.Action]:
         self.instances[name] = Controller(settings, seed)
         return []
 
-    def guarded(self, name: str, decisions: list[list[Any]], call: Callable[[], list[api.Action]]) -> None:
+    def run_instance(
+        self, name: str, decisions: list[list[Any]], call: Callable[[], list[api.Action]]
+    ) -> None:
         """Run the module; an exception of its own becomes the wire's crash of that instance."""
         try:
             actions = call()
@@ -258,7 +260,7 @@
         if not line.strip():
             continue
         try:
-            reply = host.batch(line)
+            reply = host.handle_batch(line)
         except WireError as error:
             print(f"wirehost: line {number}: {error}", file=sys.stderr)
             return 2
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -21,136 +21,136 @@
 
 
 def no_pauses() -> None:
-    def wake(self: core.Members, now: float) -> None:
+    def wake(self: core.Membership, now: float) -> None:
         self._last_ms = now
 
-    core.Members._wake = wake  # type: ignore[method-assign]
+    core.Membership._detect_pause = wake  # type: ignore[method-assign]
 
 
 def no_way_round() -> None:
     def direct(own: str, hears: Any, records: Any, names: Any) -> set[str]:
         return {own, *hears} & {own, *names}
 
-    core.reached = direct  # type: ignore[attr-defined]
+    core.reachable_from = direct  # type: ignore[attr-defined]
 
 
 def last_words() -> None:
     def believing(own: str, hears: Any, records: Any, names: Any) -> set[str]:
         known = set(names)
-        return {own, *hears, *(x for name in known for x in records[name].hears)} & {own, *known}
+        return {own, *hears, *(x for name in known for x in records[name].reachable)} & {own, *known}
 
-    core.reached = believing  # type: ignore[attr-defined]
+    core.reachable_from = believing  # type: ignore[attr-defined]
 
 
 def no_objection() -> None:
-    core.Members._defend = lambda self, now, told: None  # type: ignore[method-assign]
+    core.Membership._refute = lambda self, now, told: None  # type: ignore[method-assign]
 
 
 def no_window() -> None:
-    wire.Window.take = lambda self, number: True  # type: ignore[method-assign]
+    wire.ReplayWindow.accept = lambda self, number: True  # type: ignore[method-assign]
 
 
 def any_key() -> None:
-    wire.Seal.open = lambda self, sealed: sealed[wire.HEAD :]  # type: ignore[method-assign]
+    wire.Authenticator.verify = lambda self, sealed: sealed[wire.HEADER_BYTES :]  # type: ignore[method-assign]
 
 
 def any_word() -> None:
-    core.Members._merge = (  # type: ignore[method-assign]
-        lambda self, now, message: self._take_all(now, message.news)
+    core.Membership._merge = (  # type: ignore[method-assign]
+        lambda self, now, message: self._apply_all(now, message.records)
     )
 
 
 def no_farewell() -> None:
-    core.Members.leave = lambda self, now: []  # type: ignore[method-assign]
+    core.Membership.leave = lambda self, now: []  # type: ignore[method-assign]
 
 
 def no_hello() -> None:
-    hello = core.Members._say_hello
+    hello = core.Membership._discover
 
-    def only_joining(self: core.Members) -> None:
+    def only_joining(self: core.Membership) -> None:
         if not self.joined:
             hello(self)
 
-    core.Members._say_hello = only_joining  # type: ignore[method-assign]
+    core.Membership._discover = only_joining  # type: ignore[method-assign]
 
 
 def no_twins() -> None:
-    core.Members._twin = lambda self, now, run, came: None  # type: ignore[method-assign]
+    core.Membership._resolve_name_conflict = lambda self, now, run, came: None  # type: ignore[method-assign]
 
 
 def no_refusals() -> None:
-    watch.Watch.refusing = property(lambda self: False)  # type: ignore[assignment, method-assign]
+    watch.PeerMonitor.refusing = property(lambda self: False)  # type: ignore[assignment, method-assign]
 
 
 def one_observer() -> None:
-    verdict = core.Members._verdict
+    verdict = core.Membership._death_reason
 
-    def hasty(self: core.Members, now: float, name: str, known: Any, observers: frozenset[str]) -> str:
-        if name in self.watches and name not in self.own.hears:
+    def hasty(self: core.Membership, now: float, name: str, known: Any, observers: frozenset[str]) -> str:
+        if name in self.monitors and name not in self.own_record.reachable:
             return "I do not hear it"
         return verdict(self, now, name, known, observers)
 
-    core.Members._verdict = hasty  # type: ignore[method-assign]
+    core.Membership._death_reason = hasty  # type: ignore[method-assign]
     no_way_round()
 
 
 def forgets_own_name() -> None:
-    core.Members._welcome = _welcome_without_own(core.Members._welcome)  # type: ignore[method-assign]
+    core.Membership._handle_discover_reply = _welcome_without_own(core.Membership._handle_discover_reply)  # type: ignore[method-assign]
     no_objection()
 
 
 def _welcome_without_own(welcome: Any) -> Any:
-    def told(self: core.Members, now: float, message: wire.Welcome) -> None:
-        message.yours = None
+    def told(self: core.Membership, now: float, message: wire.DiscoverReply) -> None:
+        message.about_receiver = None
         welcome(self, now, message)
 
     return told
 
 
 def resends() -> None:
-    taken_over = register.taken_over
+    taken_over = register.value_after_takeover
 
     def again(found: Any, asker: str, intent: Any) -> Any:
         if found is not None and found.paid and found.phase is register.Phase.INTENT:
-            return register.follows(found, asker)
+            return register.with_next_owner(found, asker)
         return taken_over(found, asker, intent)
 
-    register.taken_over = again
+    register.value_after_takeover = again
 
 
 def no_leases() -> None:
-    replica.Keeper.lease_left = lambda self, owner, now: 0.0  # type: ignore[method-assign]
+    replica.Replica.lease_left_ms = lambda self, owner, now: 0.0  # type: ignore[method-assign]
 
 
 def sends_unleased() -> None:
-    custody.Custody.may_act = lambda self, id, now: id in self.held  # type: ignore[method-assign]
+    custody.OwnershipCore.may_act = lambda self, id, now: id in self.owned  # type: ignore[method-assign]
 
 
 def no_generations() -> None:
-    replica.Keeper._fence = lambda self, owner: None  # type: ignore[method-assign]
+    replica.Replica._fence = lambda self, owner: None  # type: ignore[method-assign]
 
 
 def releases_at_once() -> None:
     component.Part.release = (  # type: ignore[method-assign]
-        lambda self, request, cause: request.boxes.release(request, cause)
+        lambda self, request, cause: request.servers.release(request, cause)
     )
 
 
 def names_for_runs() -> None:
     member: Any = custody_wire.Member
-    member.who = property(lambda self: self.name)
+    member.member_id = property(lambda self: self.name)
     member.__eq__ = lambda self, other: self.name == other.name
     member.__hash__ = lambda self: hash(self.name)
 
 
 def no_holes() -> None:
-    placement.lost = lambda *_: False
+    placement.may_be_lost = lambda *_: False
 
 
 def claims_of_most() -> None:
     """A claim counts once most keepers have taken it, as a write after a question does."""
-    custody.Custody._wins = (  # type: ignore[method-assign]
-        lambda self, now, attempt: len(attempt.written) >= register.majority(len(attempt.keepers))
+    custody.OwnershipCore._wins = (  # type: ignore[method-assign]
+        lambda self, now, attempt: len(attempt.written) >= register.majority(len(attempt.replicas))
     )
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -41,40 +41,40 @@
     return replace(BASE, **changes)
 
 
-class Drive:
+class Driver:
     """One controller with six servers, one a cell, and a clock of its own."""
 
     def __init__(self, told: api.Settings = BASE, seed: int = 1, servers: int = 6) -> None:
         self.controller = Controller(told, seed)
-        self.now = 100_000_000
-        self.next = 0
+        self.now_us = 100_000_000
+        self.last_session = 0
         self.log: list[api.Action] = []
         self.listings = tuple(api.ServerListing(10 + n, n, f"z{n % 3}", "box") for n in range(servers))
-        self.tell(api.FleetUpdate(api.ListKind.CACHED, self.listings))
+        self.handle(api.FleetUpdate(api.ListKind.CACHED, self.listings))
 
-    def tell(self, event: api.Event, after_us: int = 0) -> list[api.Action]:
-        self.now += after_us
-        actions = self.controller.handle(self.now, event)
+    def handle(self, event: api.Event, after_us: int = 0) -> list[api.Action]:
+        self.now_us += after_us
+        actions = self.controller.handle(self.now_us, event)
         self.log.extend(actions)
         return actions
 
-    def ask(
+    def request(
         self, title: str = "t", class_name: str = "film", ceiling: int = 2, copies: int = 6, **more: Any
     ) -> tuple[int, list[api.Action]]:
-        self.next += 1
+        self.last_session += 1
         event = api.SessionRequested(
-            self.next, class_name, title, 0, copies, ceiling, self.now + 4_000_000, **more
+            self.last_session, class_name, title, 0, copies, ceiling, self.now_us + 4_000_000, **more
         )
-        return self.next, self.tell(event)
+        return self.last_session, self.handle(event)
 
     def play(self, title: str = "t", **more: Any) -> int:
         """Ask, and let the set-up succeed; returns the server."""
-        session, actions = self.ask(title, **more)
-        server = sent(actions).server
-        self.tell(api.SessionStarted(session, server, 0), 50_000)
+        session, actions = self.request(title, **more)
+        server = only_set_up(actions).server
+        self.handle(api.SessionStarted(session, server, 0), 50_000)
         return server
 
-    def end(
+    def end_attempt(
         self,
         session: int,
         server: int,
@@ -83,9 +83,11 @@
         concluded: bool = False,
         report: api.LoadReport | None = None,
     ) -> list[api.Action]:
-        return self.tell(api.AttemptEnded(session, attempt, server, outcome, concluded, 1000, report), 10_000)
+        return self.handle(
+            api.AttemptEnded(session, attempt, server, outcome, concluded, 1000, report), 10_000
+        )
 
-    def note(
+    def report_load(
         self,
         server: int,
         link: float | None = None,
@@ -93,15 +95,17 @@
         streams: float | None = None,
     ) -> list[api.Action]:
         """A load report that describes this moment, as a probe brings it."""
-        return self.tell(api.ProbeEnded(server, api.Outcome.SERVED, 0, api.LoadReport(streams, link, uplink)))
+        return self.handle(
+            api.ProbeEnded(server, api.Outcome.SERVED, 0, api.LoadReport(streams, link, uplink))
+        )
 
 
-def of(kind: type[Any], actions: list[api.Action]) -> list[Any]:
+def actions_of(kind: type[Any], actions: list[api.Action]) -> list[Any]:
     return [a for a in actions if isinstance(a, kind)]
 
 
-def sent(actions: list[api.Action]) -> api.SetUp:
-    found = of(api.SetUp, actions)
+def only_set_up(actions: list[api.Action]) -> api.SetUp:
+    found = actions_of(api.SetUp, actions)
     assert len(found) == 1, actions
     setup: api.SetUp = found[0]
     return setup
--- a/tests/operations_guards.py
+++ b/tests/operations_guards.py
@@ -18,7 +18,7 @@
 
 
 def lists_decide() -> None:
-    Router._laid_over = lambda self, kind, told: iter(told)  # type: ignore[method-assign]
+    Router._apply_maintenance = lambda self, kind, told: iter(told)  # type: ignore[method-assign]
 
 
 def blocks() -> None:
@@ -59,7 +59,7 @@
 
 
 def counted_twice() -> None:
-    Limit.stood = Limit.book  # type: ignore[method-assign]
+    Limit.book_existing = Limit.book  # type: ignore[method-assign]
 
 
 def looks_once() -> None:
@@ -71,17 +71,17 @@
 
 
 def remembers() -> None:
-    Server.forget = lambda self, now_us: None  # type: ignore[method-assign]
+    Server.reset = lambda self, now_us: None  # type: ignore[method-assign]
 
 
 def counts_leavers() -> None:
-    leave = Router.leave
+    leave = Router.viewer_left
 
     def counting(self: Router, request: Any) -> None:
         request.tally.errors += 1
         leave(self, request)
 
-    Router.leave = counting  # type: ignore[method-assign]
+    Router.viewer_left = counting  # type: ignore[method-assign]
 
 
 PURE, REAL = "tests/test_operations.py", "tests/test_operations_network.py"
--- a/tests/store_guards.py
+++ b/tests/store_guards.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from cloverhinge.ownership import persistence
-from cloverhinge.ownership.persistence import Recall
-from cloverhinge.ownership.replica import Keeper
+from cloverhinge.ownership.persistence import ReplicaPersistence
+from cloverhinge.ownership.replica import Replica
 from cloverhinge.store import proof
 from cloverhinge.store import rows as form
 from cloverhinge.store.folder import Folder
@@ -26,12 +26,14 @@
 
 
 def forgets_runs() -> None:
-    of = Recall.of.__func__  # type: ignore[attr-defined]
+    of = ReplicaPersistence.from_folder.__func__  # type: ignore[attr-defined]
 
-    def alone(cls: type[Recall], own: Any, claim: Any, mark: Any, rows: Any) -> Recall:
-        return of(cls, own, claim, mark, {x: y for x, y in rows.items() if x != persistence.LIVES})  # type: ignore[no-any-return]
+    def alone(
+        cls: type[ReplicaPersistence], own: Any, claim: Any, mark: Any, rows: Any
+    ) -> ReplicaPersistence:
+        return of(cls, own, claim, mark, {x: y for x, y in rows.items() if x != persistence.RUNS_KEY})  # type: ignore[no-any-return]
 
-    Recall.of = classmethod(alone)  # type: ignore[assignment,method-assign]
+    ReplicaPersistence.from_folder = classmethod(alone)  # type: ignore[assignment,method-assign]
 
 
 def no_sum() -> None:
@@ -70,13 +72,13 @@
 
 
 def no_leases() -> None:
-    load = Keeper.load
+    load = Replica.load
 
-    def bare(self: Keeper, now: float, slots: Any) -> None:
+    def bare(self: Replica, now: float, slots: Any) -> None:
         load(self, now, slots)
-        self.leases.clear()
+        self.lease_ends_ms.clear()
 
-    Keeper.load = bare  # type: ignore[method-assign]
+    Replica.load = bare  # type: ignore[method-assign]
 
 
 REAL, PARTS, MODELLED = "tests/test_lab_store.py", "tests/test_store.py", "tests/test_ownership.py"
--- a/tests/test_admission_network.py
+++ b/tests/test_admission_network.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from cloverhinge.admission.clients import prove
+from cloverhinge.admission.clients import compute_proof
 from cloverhinge.lab.harness import SETTINGS, WAIT_S, Program, Pump, Wire, answer, site
 from tests.test_hls import MediaBox, Player
 
@@ -90,7 +90,7 @@
         forged = setup(wire, 3, X_Client="maple", X_Client_Proof="0" * 64)
         told = answer(wire)
         assert (told.status, told.session) == (403, forged) and "proof" in told.headers["x-why"]
-        proof = prove(KEY.encode(), "maple", f"{4:016x}")
+        proof = compute_proof(KEY.encode(), "maple", f"{4:016x}")
         setup(wire, 4, X_Client="maple", X_Client_Proof=proof)
         told = answer(wire)
         assert told.status == 503 and int(told.headers["x-hold-off"]) == 1000, "cut to the settings' maximum"
@@ -133,7 +133,7 @@
         assert 1000 * int(headers["retry-after"]) == int(headers["x-hold-off"]) >= 1000
         assert player.get("/play/free/intro?play=player-101&client=maple&proof=00")[0] == 403
         assert player.get("/play/free/intro?client=maple&proof=00")[0] == 400
-        proof = prove(KEY.encode(), "maple", "player-102")
+        proof = compute_proof(KEY.encode(), "maple", "player-102")
         assert player.get(f"/play/free/intro?play=player-102&client=maple&proof={proof}")[0] == 503
         early = player.get(f"/play/free/intro?play=player-100&ticket={headers['x-ticket']}")
         assert early[0] == 503 and int(early[1]["retry-after"]) <= int(headers["retry-after"])
