--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -17,7 +17,7 @@
 
 from benchmarks.world import CLASSES, Crowd, Viewer, World, settings
 from cloverhinge.admission import fair_queue
-from cloverhinge.admission.gateway import Gate
+from cloverhinge.admission.gateway import AdmissionGateway
 from cloverhinge.core.model import State
 from cloverhinge.decision import interface as api
 from cloverhinge.site import ClientSite, DoorSite
@@ -29,12 +29,12 @@
 
 def world(
     *crowds: Crowd, weights: tuple[float, ...] = (1.0, 1.0, 1.0), boxes: int = 4, each: int = 25, **more: Any
-) -> tuple[World, Gate]:
+) -> tuple[World, AdmissionGateway]:
     made = World(settings(boxes, each, **more), list(crowds), boxes=boxes)
     named = zip((MAPLE, BIRCH, ALDER), weights, strict=True)
     clients = [replace(one, weight=weight) for one, weight in named]
     site = DoorSite(b"k" * 32, 512, 2048, 60_000.0, (*clients, ClientSite("others")))
-    return made, Gate(site, made.router, made.deadlines, 1)
+    return made, AdmissionGateway(site, made.router, made.deadlines, 1)
 
 
 def crowd(client: str, per_s: float, **more: Any) -> Crowd:
@@ -42,7 +42,7 @@
     return Crowd(client, peer, per_s, **more)
 
 
-def rows(gate: Gate) -> dict[str, dict[str, Any]]:
+def rows(gate: AdmissionGateway) -> dict[str, dict[str, Any]]:
     return {row["name"]: row for row in gate.status()}
 
 
@@ -81,7 +81,7 @@
     tracemalloc.stop()
     assert real.tally.served - served >= 0.9 * 5 * 30, "half of the room, which is for 10 a second"
     assert rows(gate)["others"]["share"] <= 0.56 and rows(gate)["others"]["out"] <= 2048
-    assert len(gate.door.clients[-1].buckets) <= fair_queue.BUCKETS and grown < 2_000_000
+    assert len(gate.queue.clients[-1].buckets) <= fair_queue.BUCKETS and grown < 2_000_000
 
 
 def test_seats_of_one_title_hold_and_who_waits_gets_them() -> None:
@@ -93,7 +93,7 @@
     )
     for _ in range(200):
         made.run(200.0)
-        held = sum(1 for x in made.router.requests if x.state is State.STANDS or x.attempt is not None)
+        held = sum(1 for x in made.router.requests if x.state is State.ESTABLISHED or x.attempt is not None)
         assert held <= 3
     assert made.router.counters.served > 20 and rows(gate)["maple"]["kept"] + rows(gate)["birch"]["kept"] > 5
 
@@ -106,7 +106,7 @@
     out = sum(row["out"] for row in gate.status())
     assert out > 20
     for listing in made.listings[:2]:
-        made.router.fleet(api.ListKind.DELTA, [replace(listing, health=api.Health.GONE)])
+        made.router.update_fleet(api.ListKind.DELTA, [replace(listing, health=api.Health.GONE)])
     made.run(60_000.0)
     told = list(rows(gate).values())
     assert sum(row["broken"] for row in told) > 0 and sum(row["kept"] for row in told) > 100
@@ -128,14 +128,14 @@
 ) -> None:
     made, gate = world(crowd("maple", 30.0), crowd("birch", 30.0))
     made.run(5_000.0)
-    waiting = [made.router.requests.get(n) for n in gate.door.waiters]
+    waiting = [made.router.requests.get(n) for n in gate.queue.waiting]
     assert len(waiting) >= 2
     told: Counter[int] = Counter()
     for request in waiting:
-        assert request is not None and isinstance(request.viewer, Viewer)
-        monkeypatch.setattr(request.viewer, "refused", lambda *_, n=request.handle: told.update([n]))
+        assert request is not None and isinstance(request.client, Viewer)
+        monkeypatch.setattr(request.client, "refused", lambda *_, n=request.handle: told.update([n]))
     gate.close()
-    assert not gate.door.waiters and sorted(told.values()) == [1] * len(waiting)
+    assert not gate.queue.waiting and sorted(told.values()) == [1] * len(waiting)
     made.crowds[0].returning = made.crowds[1].returning = 0.0
     before = made.router.counters.attempts
     made.run(500.0)
@@ -148,10 +148,10 @@
     made, gate = world(crowd("maple", 10.0, until_ms=30_000.0), crowd("birch", 10.0, until_ms=30_000.0))
     made.run(20_000.0)
     for listing in made.listings:
-        made.router.fleet(api.ListKind.DELTA, [replace(listing, health=api.Health.GONE)])
+        made.router.update_fleet(api.ListKind.DELTA, [replace(listing, health=api.Health.GONE)])
     made.run(10_000.0)
     for listing in made.listings:
-        made.router.fleet(api.ListKind.DELTA, [listing])
+        made.router.update_fleet(api.ListKind.DELTA, [listing])
     asked = []
     for _ in range(60):
         before = sum(one.tally.asked for one in made.crowds)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -88,8 +88,8 @@
             if self.history_s:
                 for _ in range(round(rate * self.history_s)):
                     at_us = BORN_US - round(self.random.uniform(0, self.history_s) * SECOND_US)
-                    self.controllers[router].requests.moments.append(at_us)
-                self.controllers[router].requests.moments.sort()
+                    self.controllers[router].requests.times_us.append(at_us)
+                self.controllers[router].requests.times_us.sort()
             for second in range(round(self.told_s), LENGTH_US // SECOND_US):
                 often = rate * (burst if second == 1 + self.told_s else 1.0)
                 at = self.random.expovariate(often)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,9 +10,9 @@
 from cloverhinge.core import invariants
 from cloverhinge.core.clock import ManualClock, to_ms, to_us
 from cloverhinge.core.deadlines import Deadlines
-from cloverhinge.core.model import Ask, Attempt, Cause, Presence, Request, State
-from cloverhinge.core.router import ANSWER_MARGIN_MS, GIVE_UP_MS, Router
-from cloverhinge.core.slots import Table
+from cloverhinge.core.model import Attempt, Cause, Presence, Request, SetUpRequest, State
+from cloverhinge.core.router import ANSWER_MARGIN_MS, GIVE_UP_DELAY_MS, Router
+from cloverhinge.core.slots import SlotTable
 from cloverhinge.decision import interface as api
 from cloverhinge.decision.interface import Outcome
 from tests.helpers import FILM, PAID, SEATED, settings
@@ -23,7 +23,7 @@
 
 
 def test_an_old_handle_never_finds_what_took_its_slot() -> None:
-    table: Table[str] = Table(2)
+    table: SlotTable[str] = SlotTable(2)
     first, second = table.put("a"), table.put("b")
     with pytest.raises(OverflowError):
         table.put("c")
@@ -39,7 +39,7 @@
     deadlines = Deadlines(clock)
     times = list(range(50))
     random.Random(1).shuffle(times)
-    keys = {at: deadlines.arm(at, lambda at=at: ran.append(at)) for at in times}  # type: ignore[misc]
+    keys = {at: deadlines.schedule(at, lambda at=at: ran.append(at)) for at in times}  # type: ignore[misc]
     deadlines.cancel(keys[7])
     deadlines.cancel(keys[7])
     clock.advance(20)
@@ -76,7 +76,7 @@
         return timers[-1]
 
     deadlines = Deadlines(ManualClock(0.0), call_later)
-    late, early = deadlines.arm(500.0, lambda: None), deadlines.arm(100.0, lambda: None)
+    late, early = deadlines.schedule(500.0, lambda: None), deadlines.schedule(100.0, lambda: None)
     assert [t.seconds for t in timers if t.live] == [0.1]
     deadlines.cancel(early)
     assert [t.seconds for t in timers if t.live] == [0.5]
@@ -94,13 +94,13 @@
         self.sent: list[Attempt] = []
         self.told: list[tuple[Any, ...]] = []
         self.listings = [api.ServerListing(10 + n, n, "z", "box") for n in range(servers)]
-        self.router.fleet(api.ListKind.CACHED, self.listings)
+        self.router.update_fleet(api.ListKind.CACHED, self.listings)
         self.count = 0
 
     def take(self, class_name: str = "film", title: str = "t", wait_ms: float = 3000.0) -> Request:
         self.count += 1
-        ask = Ask(f"{self.count:016x}", class_name, title, 0, 6, 2, wait_ms)
-        request = self.router.take(ask, self, self)
+        ask = SetUpRequest(f"{self.count:016x}", class_name, title, 0, 6, 2, wait_ms)
+        request = self.router.open_request(ask, self, self)
         assert request is not None
         return request
 
@@ -109,7 +109,9 @@
         self.deadlines.run()
 
     def told_of(self, server: int, health: api.Health) -> None:
-        self.router.fleet(api.ListKind.DELTA, [api.ServerListing(server, server - 10, "z", "box", health)])
+        self.router.update_fleet(
+            api.ListKind.DELTA, [api.ServerListing(server, server - 10, "z", "box", health)]
+        )
 
     # Boxes
 
@@ -141,7 +143,7 @@
         self.told.append(("released", cause))
 
     def presence(self) -> Presence:
-        return Presence.THERE
+        return Presence.PRESENT
 
     def left(self, may_have_run: bool) -> None: ...
 
@@ -157,11 +159,11 @@
     request = stand.take()
     assert stand.router.may_write(stand.sent[0]) and stand.router.answered(stand.sent[0], b"made")
     assert not stand.router.answered(stand.sent[0], b"made"), "a second answer finds no attempt"
-    assert stand.finals() == ["served"] and stand.router.open == 0
+    assert stand.finals() == ["served"] and stand.router.open_requests == 0
     for _ in range(2):
-        stand.router.session_over(request, Outcome.SERVED)
-    assert stand.told.count(("released", Cause.ENDED)) == 1 and not stand.router.standing
-    assert len(stand.router.requests) == 0 and not stand.router.by_name
+        stand.router.session_ended(request, Outcome.SERVED)
+    assert stand.told.count(("released", Cause.ENDED)) == 1 and not stand.router.established
+    assert len(stand.router.requests) == 0 and not stand.router.by_session_id
 
 
 @pytest.mark.parametrize("class_name,final", [("film", "refused"), ("paid", "failed")])
@@ -175,7 +177,7 @@
         if stand.finals():
             break
     assert stand.finals() == [final] and request.state is State.OVER
-    assert stand.clock.now() <= request.taken_ms + 3000.0 - ANSWER_MARGIN_MS + 10.0
+    assert stand.clock.now() <= request.received_ms + 3000.0 - ANSWER_MARGIN_MS + 10.0
     assert [one[0] for one in stand.told].count("set up") == [one[0] for one in stand.told].count("give up")
     assert class_name == "film" or len(stand.sent) == 1
 
@@ -187,7 +189,7 @@
     stand.router.may_write(stand.sent[0])
     stand.pass_ms(stand.sent[0].until_ms - stand.clock.now())
     assert stand.told[-1] == ("give up", stand.sent[0].server) and len(stand.sent) == 1
-    stand.pass_ms(GIVE_UP_MS)
+    stand.pass_ms(GIVE_UP_DELAY_MS)
     assert len(stand.sent) == 2
 
 
@@ -215,11 +217,11 @@
 def test_a_viewer_that_leaves_gets_nothing_and_its_attempt_is_given_up() -> None:
     stand = Stand()
     request = stand.take()
-    stand.router.leave(request)
+    stand.router.viewer_left(request)
     assert stand.finals() == [] and ("give up", stand.sent[0].server) in stand.told
     assert not stand.router.answered(stand.sent[0], b"late")
     stand.pass_ms(10_000.0)
-    assert stand.finals() == [] and stand.router.open == 0
+    assert stand.finals() == [] and stand.router.open_requests == 0
 
 
 def test_a_lost_server_s_sessions_are_released_to_their_viewers() -> None:
@@ -227,7 +229,7 @@
     stand.take()
     stand.router.answered(stand.sent[0], b"made")
     stand.told_of(stand.sent[0].server, api.Health.GONE)
-    assert ("released", Cause.CUT) in stand.told and not stand.router.standing
+    assert ("released", Cause.CUT) in stand.told and not stand.router.established
 
 
 def test_the_guards_count_in_release_builds_and_assert_in_debug_builds() -> None:
@@ -242,7 +244,7 @@
         stand.router._set_up(request.handle, 11, 0)
     with pytest.raises(AssertionError, match="refused only if"):
         stand.router._refuse(request.handle, 0.0)
-    assert invariants.broken["paid set-up sent once"] == 1
+    assert invariants.violations["paid set-up sent once"] == 1
     assert len(stand.sent) == 1 and stand.finals() == []
 
 
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -7,7 +7,7 @@
 
 from cloverhinge.core.clock import ManualClock
 from cloverhinge.core.deadlines import Deadlines
-from cloverhinge.core.model import Ask, Boxes, Viewer
+from cloverhinge.core.model import ClientPort, ServerPort, SetUpRequest
 from cloverhinge.core.router import Router
 from cloverhinge.lab.harness import answer, ask, site
 from cloverhinge.rtsp import messages
@@ -56,11 +56,11 @@
     deadlines = Deadlines(clock)
 
     class Costly(Router):
-        def take(self, ask: Ask, viewer: Viewer, boxes: Boxes) -> None:
-            begun.append(ask.name)
+        def open_request(self, ask: SetUpRequest, viewer: ClientPort, boxes: ServerPort) -> None:
+            begun.append(ask.session_id)
             clock.advance(3.0)
 
-    front = Front(Costly(settings(), 1, clock, deadlines), cast(Boxes, None), clock, deadlines, most=4)
+    front = Front(Costly(settings(), 1, clock, deadlines), cast(ServerPort, None), clock, deadlines, most=4)
     lines = [front.buildProtocol(None) for _ in range(2)]
     for line in lines:
         cast(Any, line).makeConnection(cast(Any, Transport)())
--- a/tests/test_lab_members.py
+++ b/tests/test_lab_members.py
@@ -215,12 +215,12 @@
         made.record.until(lambda: any(made.record.of("tapped")), SOON_S, "datagrams")
         caught = caught[:]
         real = made[0].ports["members"]
-        word = wire.encode(wire.News(sender="r1", run=5, to=0, number=1))
+        word = wire.encode(wire.Update(sender="r1", run=5, to_run=0, number=1))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as forger:
             forger.bind((made[1].host, 0))
-            newer = bytearray(wire.Seal((KEY.encode(),)).close(word))
+            newer = bytearray(wire.Authenticator((KEY.encode(),)).sign(word))
             newer[2] += 1
-            for data in (wire.Seal((b"x" * 40,)).close(word), bytes(newer), b"nothing", b"", *caught):
+            for data in (wire.Authenticator((b"x" * 40,)).sign(word), bytes(newer), b"nothing", b"", *caught):
                 forger.sendto(data, real)
             for _ in range(5):
                 for data in caught:
--- a/tests/test_media_servers.py
+++ b/tests/test_media_servers.py
@@ -9,7 +9,7 @@
 
 from cloverhinge.core.clock import ManualClock
 from cloverhinge.core.deadlines import Deadlines
-from cloverhinge.core.model import Ask, Viewer
+from cloverhinge.core.model import ClientPort, SetUpRequest
 from cloverhinge.core.router import Router
 from cloverhinge.decision import interface as api
 from cloverhinge.discovery.updates import ServerAddress
@@ -53,14 +53,16 @@
         self.servers = MediaServers(
             self.reactor, self.router, self.clock, self.deadlines, 250.0, 30_000.0, 384
         )
-        self.router.fleet(api.ListKind.FULL, [api.ServerListing(n, n, kind="box") for n in range(boxes)])
+        self.router.update_fleet(
+            api.ListKind.FULL, [api.ServerListing(n, n, kind="box") for n in range(boxes)]
+        )
         self.servers.follow({n: ServerAddress(n, f"box-{n}", "127.0.0.1", 1) for n in range(boxes)})
         self.servers.start()
 
     def carry(self, server: int) -> Viewing:
         viewer = Viewing()
-        ask = Ask(f"{server:016x}", "film", "title", 0, 3, 1, 0.0)
-        assert self.router.carry(ask, server, cast(Viewer, viewer), self.servers)
+        ask = SetUpRequest(f"{server:016x}", "film", "title", 0, 3, 1, 0.0)
+        assert self.router.adopt(ask, server, cast(ClientPort, viewer), self.servers)
         return viewer
 
     def up(self) -> ServerConnection:
@@ -87,7 +89,7 @@
     line = stand.up()
     stand.pass_time(5_000)
     assert len(stand.reactor.factories) == 1, "thin traffic is no sign of a silent machine"
-    stand.router.session_over(stand.router.by_name[f"{7:016x}"], api.Outcome.SERVED)
+    stand.router.session_ended(stand.router.by_session_id[f"{7:016x}"], api.Outcome.SERVED)
     stand.pass_time(30_000)
     assert len(stand.reactor.factories) == 1 and line.closing_ms, "idle lines are closed, not renewed"
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,7 +12,7 @@
 from cloverhinge.emulator.network import Way
 from cloverhinge.emulator.routers import Router, World
 from cloverhinge.members import core, wire
-from cloverhinge.members.table import MOST, Table
+from cloverhinge.members.table import MAX_RECORDS, MemberTable
 from cloverhinge.members.wire import Record, State
 
 BOUND_MS = 3500.0  # a pause under this removes nobody (docs/design/members.md)
@@ -105,7 +105,7 @@
     before = [x.members.view() for x in world.routers]
     for body in late:  # the old self's datagrams arrive now
         for other in (world.routers[0], world.routers[2]):
-            other.act(other.members.received(world.net.now, wire.decode(body)), world.routers[2].address)
+            other.act(other.members.receive(world.net.now, wire.decode(body)), world.routers[2].address)
     world.net.run(4000.0)
     assert [x.members.view() for x in world.routers] == before
 
@@ -117,10 +117,12 @@
     world.net.run(30_000.0)
     assert world.agreed() and not world.told("dead")
     for router in world.routers:
-        assert router.members.reach("r001")[1] == ["r000"] and router.members.reach("r000")[1] == ["r001"]
+        assert router.members.split_observers("r001")[1] == ["r000"] and router.members.split_observers(
+            "r000"
+        )[1] == ["r001"]
     world.net.heal()
     world.net.run(3000.0)
-    assert all(not router.members.reach("r001")[1] for router in world.routers)
+    assert all(not router.members.split_observers("r001")[1] for router in world.routers)
 
 
 def test_two_who_are_cut_but_both_reach_a_third_stay_in() -> None:
@@ -171,7 +173,7 @@
     world.until_agreed(HEALED_MS)
     world.net.run(5000.0)
     assert world.agreed() and all(x.members.view().majority for x in world.routers)
-    assert {x.members.own.incarnation for x in world.routers} == {2}
+    assert {x.members.own_record.incarnation for x in world.routers} == {2}
 
 
 def test_half_of_the_members_killed_at_once() -> None:
@@ -190,7 +192,7 @@
     world.net.run(10_000.0)
     assert world.agreed() and not world.told("dead") and not world.told("suspect")
     assert {x.members.state("r001") for x in world.routers if x is not leaver} == {"left"}
-    assert world.routers[0].members.view().whole == 4
+    assert world.routers[0].members.view().expected == 4
 
 
 def test_a_joiner_whose_seeds_are_all_down_begins_alone_and_goes_on_trying() -> None:
@@ -277,13 +279,13 @@
 
 
 def test_who_left_makes_room_in_a_full_table_and_who_is_dead_does_not() -> None:
-    table = Table()
-    for n in range(MOST):
+    table = MemberTable()
+    for n in range(MAX_RECORDS):
         state = State.LEFT if n == 7 else State.DEAD if n == 9 else State.ALIVE
         assert table.put(Record(f"m{n}", 1, n, state, 0, "127.0.0.1", 1))
-    assert table.view().whole == MOST - 1
+    assert table.view().expected == MAX_RECORDS - 1
     assert table.put(Record("late", 1, 1, State.ALIVE, 0, "127.0.0.1", 1)) and "m7" not in table.records
-    assert not table.put(Record("later", 1, 1, State.ALIVE, 0, "127.0.0.1", 1)) and table.turned_away == 1
+    assert not table.put(Record("later", 1, 1, State.ALIVE, 0, "127.0.0.1", 1)) and table.rejected == 1
 
 
 def test_whoever_acts_after_a_pause_is_told_of_it_first() -> None:
@@ -292,8 +294,8 @@
     sleeper = world.routers[0]
     world.net.pause(sleeper.process)
     world.net.run(2000.0)
-    told = sleeper.members.awake(world.net.now)
-    assert isinstance(told[0], core.Away) and told[0].ms > 1900.0
+    told = sleeper.members.check_pause(world.net.now)
+    assert isinstance(told[0], core.ProcessPaused) and told[0].ms > 1900.0
     assert not sleeper.members.trusted, "it asks before it acts"
     world.net.wake(sleeper.process)
     world.net.run(1500.0)
@@ -302,34 +304,34 @@
 
 def test_two_keys_are_taken_while_one_is_changed_and_no_other() -> None:
     old, new = b"o" * 32, b"n" * 32
-    body = wire.encode(wire.News(sender="a", run=1, to=2, number=3))
-    assert wire.Seal((new, old)).open(wire.Seal((old,)).close(body)) == body
-    assert wire.Seal((old, new)).open(wire.Seal((new, old)).close(body)) == body
+    body = wire.encode(wire.Update(sender="a", run=1, to_run=2, number=3))
+    assert wire.Authenticator((new, old)).verify(wire.Authenticator((old,)).sign(body)) == body
+    assert wire.Authenticator((old, new)).verify(wire.Authenticator((new, old)).sign(body)) == body
     for sealed, kind in (
-        (wire.Seal((old,)).close(body), "key"),
-        (wire.Seal((new,)).close(body)[:-1] + b"x", "key"),
+        (wire.Authenticator((old,)).sign(body), "key"),
+        (wire.Authenticator((new,)).sign(body)[:-1] + b"x", "key"),
         (b"", "malformed"),
         (b"CH\2" + bytes(40), "version"),
     ):
-        with pytest.raises(wire.Bad) as bad:
-            wire.Seal((new,)).open(sealed)
+        with pytest.raises(wire.MessageError) as bad:
+            wire.Authenticator((new,)).verify(sealed)
         assert bad.value.kind == kind
 
 
 @given(st.binary(max_size=200))
 def test_no_bytes_do_more_than_be_refused(body: bytes) -> None:
-    with suppress(wire.Bad):
+    with suppress(wire.MessageError):
         wire.decode(body)
 
 
 def test_a_record_over_its_bounds_is_refused_when_it_is_read() -> None:
     for record in (
         Record("a", 1, 1, State.ALIVE, 0, "h", 1, facts=bytes(513)),
-        Record("a", 1, 1, State.ALIVE, 0, "h", 1, hears=("b",) * 65),
+        Record("a", 1, 1, State.ALIVE, 0, "h", 1, reachable=("b",) * 65),
         Record("", 1, 1, State.ALIVE, 0, "h", 1),
     ):
-        with pytest.raises(wire.Bad):
-            wire.decode(wire.encode(wire.News(news=[record])))
+        with pytest.raises(wire.MessageError):
+            wire.decode(wire.encode(wire.Update(records=[record])))
 
 
 RECORDS = st.lists(
@@ -352,9 +354,9 @@
     """Guards the agreement: whoever has heard the same holds the same view, number and digest."""
     tables = []
     for _ in range(2):
-        table = Table()
+        table = MemberTable()
         for record in records + records[:3]:
-            if table.newer(record):
+            if table.supersedes(record):
                 before = table.number
                 table.put(record)
                 assert table.number >= before, "a view's number only grows"
@@ -393,7 +395,7 @@
         for one in world.seen:
             assert highest.get((one.by, one.what.name), 0) <= one.what.incarnation
             highest[one.by, one.what.name] = one.what.incarnation
-            assert cause or one.what.what != "dead", one
+            assert cause or one.what.change != "dead", one
         world.seen.clear()
 
     def end(one: Router) -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -10,15 +10,15 @@
 from hypothesis import strategies as st
 
 from cloverhinge.core.clock import to_us
-from cloverhinge.core.model import Ask, Cause, Presence, Request, State
+from cloverhinge.core.model import Cause, Presence, Request, SetUpRequest, State
 from cloverhinge.decision import interface as api
 from cloverhinge.decision.interface import Outcome
-from cloverhinge.decision.upgrade_overlap import known, seats_elsewhere, share, take_over
+from cloverhinge.decision.upgrade_overlap import divide_traffic, export_learned, import_learned, import_seats
 from cloverhinge.operations import commands, maintenance, overlap
 from cloverhinge.operations.maintenance import Bans, Record
 from cloverhinge.operations.metrics import Figures
 from cloverhinge.operations.overlap import Phase
-from tests.helpers import BASE, Drive, of
+from tests.helpers import BASE, Driver, actions_of
 from tests.test_core import Stand
 
 
@@ -141,7 +141,7 @@
 
     def released(self, cause: Cause) -> None: ...
     def presence(self) -> Presence:
-        return Presence.THERE
+        return Presence.PRESENT
 
     def left(self, may_have_run: bool) -> None: ...
 
@@ -167,7 +167,9 @@
                 (
                     kind,
                     person,
-                    router.take(Ask(f"{number:016x}", kind, f"t{which}", 0, 6, 2, 3000.0), person, stand),
+                    router.open_request(
+                        SetUpRequest(f"{number:016x}", kind, f"t{which}", 0, 6, 2, 3000.0), person, stand
+                    ),
                 )
             )
         elif what == "wait":
@@ -175,16 +177,16 @@
         elif what == "leave" and people:
             request = people[which % len(people)][2]
             if request is not None:
-                router.leave(request)
+                router.viewer_left(request)
         elif what == "over" and people:
             request = people[which % len(people)][2]
-            if request is not None and request.state is State.STANDS:
-                router.session_over(request, Outcome.SERVED)
+            if request is not None and request.state is State.ESTABLISHED:
+                router.session_ended(request, Outcome.SERVED)
         elif attempt is not None:
             out.remove(attempt)
             before = attempt.written
             if router.may_write(attempt) and not before:
-                written[attempt.request.kind.name] += 1
+                written[attempt.request.service_class.name] += 1
             if what == "serve":
                 router.answered(attempt, b"made")
                 router.answered(attempt, b"twice")
@@ -206,28 +208,28 @@
 def test_a_box_left_out_by_hand_drains_whatever_the_list_says_and_comes_back_cold() -> None:
     stand = Stand()
     router, listed = stand.router, stand.listings
-    router.leave_out(10, stand.clock.now())
+    router.start_maintenance(10, stand.clock.now())
     for kind in (api.ListKind.DELTA, api.ListKind.FULL):
-        router.fleet(kind, listed)  # the list names it as ready again
+        router.update_fleet(kind, listed)  # the list names it as ready again
         assert not router.sendable(10) and router.sendable(11)
     stand.told_of(10, api.Health.GONE)
-    router.put_back(10)
+    router.end_maintenance(10)
     assert 10 not in router.listings  # the list has it no more
-    router.leave_out(10, stand.clock.now())
-    router.fleet(api.ListKind.DELTA, listed[:1])
+    router.start_maintenance(10, stand.clock.now())
+    router.update_fleet(api.ListKind.DELTA, listed[:1])
     assert not router.sendable(10)
     server = router.controller.fleet.servers[10]
-    server.failures, server.distrusted_until_us = 3, 1 << 60
+    server.failures, server.suspect_until_us = 3, 1 << 60
     server.link.load = 0.99
-    router.put_back(10)
+    router.end_maintenance(10)
     server = router.controller.fleet.servers[10]
-    assert router.sendable(10) and server.failures == 0 and server.distrusted_until_us == 0
-    assert router.controller.warmth(server) < 0.5 and router.controller.load_of(server.link) < 0.1
-    router.leave_out(10, stand.clock.now())
+    assert router.sendable(10) and server.failures == 0 and server.suspect_until_us == 0
+    assert router.controller.warm_fraction(server) < 0.5 and router.controller.load_of(server.link) < 0.1
+    router.start_maintenance(10, stand.clock.now())
     started_us = to_us(stand.clock.now()) + 2_000_000
-    router.fleet(api.ListKind.DELTA, (replace(listed[0], started_us=started_us),))
+    router.update_fleet(api.ListKind.DELTA, (replace(listed[0], started_us=started_us),))
     stand.pass_ms(6000.0)
-    router.put_back(10)
+    router.end_maintenance(10)
     assert router.controller.fleet.servers[10].cold_since_us == started_us  # the list knows better
 
 
@@ -235,7 +237,7 @@
     stand = Stand(cold_us=0)
     router, _ = stand.router, stand.take()
     first = stand.sent.pop()
-    router.leave_out(first.server, stand.clock.now())
+    router.start_maintenance(first.server, stand.clock.now())
     assert not router.may_write(first) and stand.sent[0].server != first.server
     assert router.counters.tallies["film"].tries == 0
 
@@ -257,78 +259,82 @@
 
 
 def test_the_new_process_takes_over_what_the_old_one_knows_better() -> None:
-    old, new = Drive(), Drive()
-    old.note(10, link=0.8, uplink=0.4)
+    old, new = Driver(), Driver()
+    old.report_load(10, link=0.8, uplink=0.4)
     old.play("t")
-    old.controller.fleet.servers[11].distrusted_until_us = old.now + 5_000_000
-    told = overlap.decode(overlap.encode(Phase.ENDING, known(old.controller))).known
-    new.now = old.now + 1
-    new.controller.handle(new.now, api.TimerFired(0))
-    take_over(new.controller, new.now, told)
+    old.controller.fleet.servers[11].suspect_until_us = old.now_us + 5_000_000
+    told = overlap.decode(overlap.encode(Phase.ENDING, export_learned(old.controller))).known
+    new.now_us = old.now_us + 1
+    new.controller.handle(new.now_us, api.TimerFired(0))
+    import_learned(new.controller, new.now_us, told)
     mine = new.controller.fleet.servers
     assert mine[10].link.load == pytest.approx(0.8, abs=0.05)
     assert new.controller.tokens == old.controller.tokens
-    assert mine[11].distrusted_until_us == old.controller.fleet.servers[11].distrusted_until_us
-    mine[10].link.load, mine[10].link.described_us = 0.1, new.now  # heard by itself since
-    take_over(new.controller, new.now, told)
+    assert mine[11].suspect_until_us == old.controller.fleet.servers[11].suspect_until_us
+    mine[10].link.load, mine[10].link.measured_us = 0.1, new.now_us  # heard by itself since
+    import_learned(new.controller, new.now_us, told)
     assert mine[10].link.load == 0.1
-    share(new.controller, replace(BASE, budget_free=4.0), 2)
+    divide_traffic(new.controller, replace(BASE, budget_free=4.0), 2)
     assert new.controller.settings.budget_free == 2.0
     assert new.controller.settings.fleet_size == 2 * BASE.fleet_size
-    share(new.controller, BASE, 1)
+    divide_traffic(new.controller, BASE, 1)
     assert new.controller.settings == BASE
 
 
 def test_seats_that_the_other_process_has_given_out_are_taken() -> None:
-    old, new = Drive(), Drive()
+    old, new = Driver(), Driver()
     for _ in range(2):
         old.play("live", class_name="seated")
-    told = overlap.decode(overlap.encode(Phase.SERVING, known(old.controller))).known
-    seats_elsewhere(new.controller, [told])
-    assert not of(api.SetUp, new.ask("live", class_name="seated")[1])
-    assert of(api.SetUp, new.ask("other", class_name="seated")[1])
-    seats_elsewhere(new.controller, [])
-    assert of(api.SetUp, new.ask("live", class_name="seated")[1])
+    told = overlap.decode(overlap.encode(Phase.SERVING, export_learned(old.controller))).known
+    import_seats(new.controller, [told])
+    assert not actions_of(api.SetUp, new.request("live", class_name="seated")[1])
+    assert actions_of(api.SetUp, new.request("other", class_name="seated")[1])
+    import_seats(new.controller, [])
+    assert actions_of(api.SetUp, new.request("live", class_name="seated")[1])
 
 
 def test_a_session_handed_over_is_not_counted_on_top_of_the_load_that_held_it() -> None:
     """Guards against a step down of those who play, each time a new version takes them over."""
-    drive = Drive()
-    drive.note(10, link=0.7)
-    drive.ask(server=10)
+    drive = Driver()
+    drive.report_load(10, link=0.7)
+    drive.request(server=10)
     server = drive.controller.fleet.servers[10]
     assert drive.controller.load_of(server.link) == pytest.approx(0.7)
-    drive.tell(api.RungInForce(drive.next, 10, 2))
+    drive.handle(api.RungReported(drive.last_session, 10, 2))
     assert drive.controller.load_of(server.link) == pytest.approx(0.7) and server.link.booked == 400.0
 
 
 def test_a_first_report_that_is_older_than_the_last_word_of_a_hand_over_holds_all_of_it() -> None:
     """Guards the first second after a start: half of the sessions stepped down at a load of 0.56."""
-    drive = Drive()
-    drive.ask(server=10)
+    drive = Driver()
+    drive.request(server=10)
     link = drive.controller.fleet.servers[10].link
-    drive.tell(api.RungInForce(drive.next, 10, 2), 300_000)
-    drive.tell(api.AttemptEnded(99, 0, 10, api.Outcome.FULL, False, 1000, api.LoadReport(link=0.56)), 200_000)
-    assert link.described_us < drive.now - 300_000  # taken to describe a moment before its rung was told
+    drive.handle(api.RungReported(drive.last_session, 10, 2), 300_000)
+    drive.handle(
+        api.AttemptEnded(99, 0, 10, api.Outcome.FULL, False, 1000, api.LoadReport(link=0.56)), 200_000
+    )
+    assert link.measured_us < drive.now_us - 300_000  # taken to describe a moment before its rung was told
     assert drive.controller.load_of(link) == pytest.approx(0.56)
-    early = Drive()
-    early.ask(server=10)
-    early.tell(api.LinkNote(early.next, 10, 0.1), 100_000)
-    early.tell(api.LinkNote(early.next, 10, 0.1), 100_000)  # describes a second ago, when none was here
+    early = Driver()
+    early.request(server=10)
+    early.handle(api.LinkNote(early.last_session, 10, 0.1), 100_000)
+    early.handle(
+        api.LinkNote(early.last_session, 10, 0.1), 100_000
+    )  # describes a second ago, when none was here
     assert early.controller.load_of(early.controller.fleet.servers[10].link) == pytest.approx(0.2)
 
 
 def test_hundreds_handed_over_at_once_walk_no_history() -> None:
     """Guards the first second of a new version, which stood still for 1.2 s over a long history."""
-    drive = Drive()
-    drive.note(10, link=0.2)
+    drive = Driver()
+    drive.report_load(10, link=0.2)
     link = drive.controller.fleet.servers[10].link
     for _ in range(300):
-        link.book(drive.now + 1, 1.0)
-        link.book(drive.now, -1.0)
+        link.book(drive.now_us + 1, 1.0)
+        link.book(drive.now_us, -1.0)
     walked, before = link.history, len(link.history)
     for _ in range(50):
-        drive.ask(server=10)
+        drive.request(server=10)
     assert link.history is walked and len(walked) == before and link.booked == pytest.approx(50 * 100.0)
     assert drive.controller.load_of(link) == pytest.approx(0.2)
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -8,7 +8,7 @@
 from cloverhinge.emulator.ownership_world import Fetch, Keepers, rough
 from cloverhinge.ownership import placement, register
 from cloverhinge.ownership.model import Rules, Stage, Verdict
-from cloverhinge.ownership.register import EMPTY, Accepted, Denied, Phase, Slot, Work
+from cloverhinge.ownership.register import EMPTY_SLOT, Accepted, Denied, Phase, Slot, Work
 from cloverhinge.ownership.wire import Hole, Member
 
 SEEDS = range(10)  # of random schedules; more with `python -m tests.test_ownership FIRST LAST`
@@ -54,7 +54,7 @@
     while made.unowned():
         made.net.run(25.0)
         assert made.net.now - begun < 3000.0
-    shares = [len(x.custody.held) for x in made.keepers if x.running]
+    shares = [len(x.custody.owned) for x in made.keepers if x.running]
     assert sum(shares) == 60 and max(shares) <= 30, shares
 
 
@@ -63,14 +63,14 @@
     for router in made.routers[:2]:
         router.start()
     made.net.run(10_000.0)
-    assert all(x.custody.rosters.roster is None for x in made.keepers[:2])
+    assert all(x.custody.replica_sets.current is None for x in made.keepers[:2])
     assert fetched(made, 0, "p0") == "refused" and not made.sessions
     made.routers[2].start()
     made.until_rostered()
     made.keepers[1].kill()
     made.keepers[2].kill()
     made.net.run(10_000.0)
-    assert made.keepers[0].custody.rosters.stuck
+    assert made.keepers[0].custody.replica_sets.stuck_reason
     assert fetched(made, 0, "p1") == "refused" and "p1" not in made.sessions
     made.routers[1].start()
     made.routers[2].start()
@@ -149,7 +149,7 @@
             router.kill()
             router.start()
     begun = made.net.now
-    while not all(x.custody.rosters.active for x in made.keepers if x is not owner):
+    while not all(x.custody.replica_sets.active for x in made.keepers if x is not owner):
         made.net.run(25.0)
         assert made.net.now - begun < 14_000.0
     assert fetched(made, 2, "p0", 1000.0) == ""  # not answered: the owner may act
@@ -232,52 +232,55 @@
     """It had to be asked for, as a keeper is away; the roster changes when one has taken it."""
     made = world(5)
     asker = made.keepers[0]
-    keepers = asker.custody.keepers("p0")
-    away = next(x for x in made.keepers if x.custody.who in keepers and x is not asker)
+    keepers = asker.custody.replicas_of("p0")
+    away = next(x for x in made.keepers if x.custody.own_id in keepers and x is not asker)
     made.net.cut([away.address], [asker.address])
     fetch = asker.fetch("p0")
     begun = made.net.now
-    while (attempt := asker.custody.tries.get("p0")) is None or attempt.stage is not Stage.WRITE:
+    while (attempt := asker.custody.acquisitions.get("p0")) is None or attempt.stage is not Stage.WRITE:
         made.net.run(0.1)
         assert made.net.now - begun < 1000.0
-    attempt.wrote = False  # as where the claim was asked for from the start
+    attempt.wrote_prepared = False  # as where the claim was asked for from the start
     asker.custody._decide(made.net.now, attempt, None, False)
     made.net.run(0.3)
-    attempt.stage, attempt.next_ms, attempt.claims = Stage.WAIT, made.net.now, False
+    attempt.stage, attempt.next_ms, attempt.may_claim = Stage.WAIT, made.net.now, False
     made.net.run(1000.0)
     assert fetch.answer == "200" and not made.broken()
 
 
 def test_keepers_are_on_other_sites_first_and_spread() -> None:
     members = tuple(Member(f"r{n}", n, f"s{n % 3}") for n in range(9))
-    sites = {x.who: x.site for x in members}
+    sites = {x.member_id: x.site for x in members}
     for number in range(100):
-        those = placement.keepers(f"h/{number}", members, 3)
+        those = placement.choose_replicas(f"h/{number}", members, 3)
         assert {sites[x] for x in those} == {"s0", "s1", "s2"}
-    counts = [sum(x.who in placement.keepers(f"h/{n}", members, 3) for n in range(300)) for x in members]
+    counts = [
+        sum(x.member_id in placement.choose_replicas(f"h/{n}", members, 3) for n in range(300))
+        for x in members
+    ]
     assert min(counts) > 50, counts
 
 
 def test_a_successor_is_drawn_by_room() -> None:
     room = {"a": 300.0, "b": 100.0, "c": 0.0}
-    drawn = [placement.successor(f"h/{n}", ("a", "b", "c"), room) for n in range(400)]
+    drawn = [placement.choose_successor(f"h/{n}", ("a", "b", "c"), room) for n in range(400)]
     assert drawn.count("a") > 2 * drawn.count("b") > 20 * drawn.count("c")
 
 
 def test_a_record_is_lost_with_most_of_its_keepers_until_it_is_written_again() -> None:
     members = tuple(Member(f"r{n}", n) for n in range(5))
-    those = placement.keepers("h/1", members, 3)
-    assert placement.lost("h/1", 0, Hole(4, members, those[:2]), 3)
-    assert not placement.lost("h/1", 0, Hole(4, members, those[:1]), 3)
-    assert not placement.lost("h/1", placement.lowest(5) + 1, Hole(4, members, those[:2]), 3)
+    those = placement.choose_replicas("h/1", members, 3)
+    assert placement.may_be_lost("h/1", 0, Hole(4, members, those[:2]), 3)
+    assert not placement.may_be_lost("h/1", 0, Hole(4, members, those[:1]), 3)
+    assert not placement.may_be_lost("h/1", placement.first_counter(5) + 1, Hole(4, members, those[:2]), 3)
 
 
 def test_a_claim_is_taken_only_where_nobody_came_and_a_term_is_written_on_under() -> None:
     mine, other = Work("a#1", 1, Phase.INTENT, True), Work("b#1", 1, Phase.INTENT, True)
-    slot, reply = register.accept(EMPTY, (1, "a#1", 0), mine, new=True)
+    slot, reply = register.accept(EMPTY_SLOT, (1, "a#1", 0), mine, is_claim=True)
     assert isinstance(reply, Accepted)
-    assert isinstance(register.accept(slot, (1, "b#1", 0), other, new=True)[1], Denied)
-    assert isinstance(register.accept(slot, (2, "a#1", 0), mine, new=True)[1], Denied)
+    assert isinstance(register.accept(slot, (1, "b#1", 0), other, is_claim=True)[1], Denied)
+    assert isinstance(register.accept(slot, (2, "a#1", 0), mine, is_claim=True)[1], Denied)
     assert isinstance(register.accept(slot, (1, "a#1", 1), mine)[1], Accepted)
     promised = Slot((2, "b#1", 0), slot.accepted, slot.work)
     assert isinstance(register.accept(promised, (1, "a#1", 1), mine)[1], Denied)
@@ -286,9 +289,9 @@
 def test_claims_are_bounded() -> None:
     made = world(3)
     custody, now = made.keepers[0].custody, made.net.now
-    custody.tries = {str(n): None for n in range(5000)}  # type: ignore[misc]
+    custody.acquisitions = {str(n): None for n in range(5000)}  # type: ignore[misc]
     told = custody.claim(now, 1, "h/x", True, b"", now + 10, now + 10)
-    assert [x.verdict for x in told if hasattr(x, "verdict")] == [Verdict.UNKEPT]
+    assert [x.verdict for x in told if hasattr(x, "verdict")] == [Verdict.UNREPLICATED]
 
 
 def main() -> None:
--- a/tests/test_ownership_model.py
+++ b/tests/test_ownership_model.py
@@ -15,7 +15,7 @@
 import pytest
 
 from cloverhinge.ownership import register
-from cloverhinge.ownership.register import EMPTY, Accepted, Phase, Promise, Proposal, Slot, Work
+from cloverhinge.ownership.register import EMPTY_SLOT, Accepted, Phase, Promise, Proposal, Slot, Work
 
 KEEPERS = 3
 ROUTERS = ("A", "P", "Q")
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Keeper:
-    slot: Slot = EMPTY
+    slot: Slot = EMPTY_SLOT
     lease: str = ""  # to whom one runs
     down: bool = False
 
@@ -98,7 +98,7 @@
                     number,
                     tries=1,
                     claims=True,
-                    proposal=Proposal(ballot, KEEPERS).writes(intent),
+                    proposal=Proposal(ballot, KEEPERS).with_value(intent),
                 ),
             )
         elif rules.claims and router.claims and router.own is None and router.tries < rules.tries:
@@ -122,14 +122,14 @@
         if router.proposal is not None and router.proposal.prepared and router.proposal.work is None:
             intent = Work(name, 1, Phase.INTENT, True)
             found = router.proposal.found
-            work = register.taken_over(found, name, intent)
+            work = register.value_after_takeover(found, name, intent)
             if rules.resends and found is not None and found.phase is Phase.INTENT:
-                work = register.follows(found, name)
+                work = register.with_next_owner(found, name)
             writes = {("accept", name, k, (router.proposal.ballot, work)) for k in range(KEEPERS)}
             yield replace(
                 world,
                 wire=world.wire | writes,
-                routers=at(world.routers, number, proposal=router.proposal.writes(work)),
+                routers=at(world.routers, number, proposal=router.proposal.with_value(work)),
             )
         whole = (
             not router.claims
@@ -144,7 +144,7 @@
             )
         if (
             router.own is not None
-            and register.owned(router.own) == name
+            and register.active_owner(router.own) == name
             and not router.sent
             and router.own.phase is not Phase.DOOMED
         ):
@@ -191,10 +191,10 @@
     wire = world.wire - {message}  # a second copy has no effect: the keeper's answer to it is a denial
     if kind in ("prepare", "accept", "claim"):
         if kind == "prepare":
-            left = 1.0 if keeper.lease and keeper.lease == register.owned(keeper.slot.work) else 0.0
+            left = 1.0 if keeper.lease and keeper.lease == register.active_owner(keeper.slot.work) else 0.0
             slot, reply = register.prepare(keeper.slot, told, name, left)  # type: ignore[arg-type]
         else:
-            slot, reply = register.accept(keeper.slot, *told, new=kind == "claim")  # type: ignore[misc]
+            slot, reply = register.accept(keeper.slot, *told, is_claim=kind == "claim")  # type: ignore[misc]
         if not isinstance(reply, Promise | Accepted):
             return  # it may come once more, when a lease is over
         taken = world.taken
@@ -205,7 +205,7 @@
             yield kept  # the answer is lost
         # One that comes later is one that comes now and is acted on later.
         if not router.gone and router.proposal is not None:
-            yield replace(kept, routers=at(world.routers, number, proposal=router.proposal.heard(k, reply)))
+            yield replace(kept, routers=at(world.routers, number, proposal=router.proposal.receive(k, reply)))
     else:
         if rules.fences and register.fenced(keeper.slot, name) or keeper.lease:
             return
@@ -236,7 +236,7 @@
     for holders in ((0, 1), (0, 1, 2)):
         for leased in ((), (0,), (0, 1)):
             proposal = Proposal(
-                ballot, KEEPERS, ((0, Promise(ballot, register.NONE, None)),), work, frozenset(holders)
+                ballot, KEEPERS, ((0, Promise(ballot, register.NO_BALLOT, None)),), work, frozenset(holders)
             )
             owner = Router(proposal, 1, work, frozenset(leased))
             late = {("accept", "A", k, (ballot, work)) for k in range(KEEPERS) if k not in holders}
@@ -245,7 +245,8 @@
                     (owner, Router(), Router() if successors > 1 else GONE),
                     tuple(
                         Keeper(
-                            Slot(ballot, ballot, work) if k in holders else EMPTY, "A" if k in leased else ""
+                            Slot(ballot, ballot, work) if k in holders else EMPTY_SLOT,
+                            "A" if k in leased else "",
                         )
                         for k in range(KEEPERS)
                     ),
@@ -277,7 +278,7 @@
         return "a paid set-up left twice"
     if world.late:
         return "an owner acted after it had lost the record"
-    epochs = [epoch for epoch, work in world.chosen if register.owned(work)]
+    epochs = [epoch for epoch, work in world.chosen if register.active_owner(work)]
     if len(epochs) != len(set(epochs)):
         return "an epoch had two owners"
     held: dict[tuple[register.Ballot, Work], int] = {}
--- a/tests/test_plays.py
+++ b/tests/test_plays.py
@@ -58,12 +58,12 @@
     assert request is not None and request.server is not None
     match how:
         case "ended by its box":
-            router.session_over(request, Outcome.SERVED)
+            router.session_ended(request, Outcome.SERVED)
             again = False  # it was watched to its end
         case "cut":
             router.cut(request)
         case "cancelled by its box":
-            router.session_over(request, Outcome.CANCELLED)
+            router.session_ended(request, Outcome.CANCELLED)
         case "drained":
             fetches.stand.told_of(request.server, api.Health.DRAINING)
         case "moved":
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -9,7 +9,7 @@
 
 from cloverhinge.decision import interface as api
 from cloverhinge.decision.interface import Health, Outcome
-from tests.helpers import BASE, Drive, settings
+from tests.helpers import BASE, Driver, settings
 
 FAILURES = (Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
 
@@ -17,7 +17,7 @@
 def random_day(seed: int, steps: int) -> list[api.Action]:
     """Play random events against one instance and check the rules at every action."""
     rng = random.Random(seed)
-    drive = Drive(settings(max_attempts=rng.randint(1, 4)), seed)
+    drive = Driver(settings(max_attempts=rng.randint(1, 4)), seed)
     classes = {one.name: one for one in BASE.classes}
     out: dict[int, tuple[int, int]] = {}  # session -> server, attempt
     playing: dict[int, int] = {}
@@ -49,23 +49,23 @@
                 assert classes[asked[action.session][0]].floor <= action.rung <= 2, "floor kept"
 
     for _ in range(steps):
-        drive.now += rng.randint(0, 300_000)
+        drive.now_us += rng.randint(0, 300_000)
         what = rng.random()
         if what < 0.35:
             class_name, title = rng.choice(BASE.classes).name, f"t{rng.randint(0, 5)}"
-            drive.next += 1
-            asked[drive.next] = class_name, title
-            owed.add(drive.next)
+            drive.last_session += 1
+            asked[drive.last_session] = class_name, title
+            owed.add(drive.last_session)
             check(
-                drive.tell(
+                drive.handle(
                     api.SessionRequested(
-                        drive.next,
+                        drive.last_session,
                         class_name,
                         title,
                         rng.randint(0, 5),
                         rng.randint(1, 6),
                         2,
-                        drive.now + 4_000_000,
+                        drive.now_us + 4_000_000,
                     )
                 )
             )
@@ -75,17 +75,17 @@
             if rng.random() < 0.6:
                 owed.discard(session)
                 playing[session] = server
-                check(drive.tell(api.SessionStarted(session, server, attempt)))
+                check(drive.handle(api.SessionStarted(session, server, attempt)))
             else:
                 outcome = rng.choice(FAILURES)
                 if not outcome.never_ran:
                     ran.add(session)
-                check(drive.tell(api.AttemptEnded(session, attempt, server, outcome, False)))
+                check(drive.handle(api.AttemptEnded(session, attempt, server, outcome, False)))
         elif what < 0.72 and playing:
             session = rng.choice(sorted(playing))
             server = playing.pop(session)
             outcome = rng.choice((Outcome.SERVED, Outcome.RESET, Outcome.CANCELLED))
-            check(drive.tell(api.AttemptEnded(session, 0, server, outcome, True)))
+            check(drive.handle(api.AttemptEnded(session, 0, server, outcome, True)))
         elif what < 0.82:
             listing = rng.choice(drive.listings)
             health = rng.choice((Health.READY, Health.READY, Health.DRAINING, Health.GONE))
@@ -96,20 +96,20 @@
                 listing.zone,
                 listing.kind,
                 health,
-                started_us=rng.choice((0, drive.now)),
+                started_us=rng.choice((0, drive.now_us)),
             )
-            check(drive.tell(api.FleetUpdate(api.ListKind.DELTA, (changed,))))
+            check(drive.handle(api.FleetUpdate(api.ListKind.DELTA, (changed,))))
         elif what < 0.92 and playing:
             session = rng.choice(sorted(playing))
             note = rng.choice((api.LinkNote, api.UplinkNote, api.DeliveredShare))
-            check(drive.tell(note(session, playing[session], rng.uniform(0.1, 1.4))))
+            check(drive.handle(note(session, playing[session], rng.uniform(0.1, 1.4))))
         else:
-            check(drive.tell(api.TimerFired(0)))
+            check(drive.handle(api.TimerFired(0)))
     for session in sorted(out):
         server, attempt = out.pop(session)
         ran.add(session)
-        drive.now += 5_000_000  # past every deadline
-        check(drive.tell(api.AttemptEnded(session, attempt, server, Outcome.TIMEOUT, False)))
+        drive.now_us += 5_000_000  # past every deadline
+        check(drive.handle(api.AttemptEnded(session, attempt, server, Outcome.TIMEOUT, False)))
     assert not owed, "no session lost"
     return drive.log
 
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -14,9 +14,9 @@
 
 from cloverhinge.core.clock import ManualClock
 from cloverhinge.core.deadlines import Deadlines
-from cloverhinge.core.model import Boxes
+from cloverhinge.core.model import ServerPort
 from cloverhinge.core.router import Router
-from cloverhinge.core.slots import Table
+from cloverhinge.core.slots import SlotTable
 from cloverhinge.lab.harness import Message, Pump, Wire, answer, ask, site
 from cloverhinge.rtsp import messages
 from cloverhinge.rtsp.client import RtspClient
@@ -79,11 +79,11 @@
 def test_who_makes_room_is_found_without_a_look_at_all_connections() -> None:
     """Guards the loop: a look at 500 lines for each of 7,000 connections took a fifth of a day's CPU."""
 
-    class Unseen(Table[ClientConnection]):
+    class Unseen(SlotTable[ClientConnection]):
         def __iter__(self) -> Iterator[ClientConnection]:
             raise AssertionError("all lines are looked at")
 
-    clock, boxes = ManualClock(), cast(Boxes, None)
+    clock, boxes = ManualClock(), cast(ServerPort, None)
     deadlines = Deadlines(clock)
     front = Front(Router(settings(), 1, clock, deadlines), boxes, clock, deadlines, most=4)
     front.connections = Unseen(4)
--- a/tests/test_rtsp.py
+++ b/tests/test_rtsp.py
@@ -75,7 +75,15 @@
     reader = Reader()
     reader.dataReceived(SETUP)
     ask, at = read_set_up(reader.seen[0])
-    assert (ask.name, ask.class_name, ask.title, ask.first_cell, ask.copies, ask.ceiling, ask.wait_ms) == (
+    assert (
+        ask.session_id,
+        ask.class_name,
+        ask.title,
+        ask.first_cell,
+        ask.copies,
+        ask.ceiling,
+        ask.wait_ms,
+    ) == (
         "9b1f03aa5c7e2d41",
         "paid",
         "7f3a",
@@ -84,7 +92,7 @@
         2,
         1500.0,
     )
-    assert (ask.viewer, ask.returning, at, ask.body) == ("aa", True, "", b"a\r\nb\r\n\r\nc")
+    assert (ask.viewer_id, ask.returning, at, ask.body) == ("aa", True, "", b"a\r\nb\r\n\r\nc")
 
 
 def test_what_is_written_can_be_read() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverhinge.ownership.persistence import Stands
+from cloverhinge.ownership.persistence import StoreState
 from cloverhinge.ownership.replica_store import Shelf
 from cloverhinge.ownership.wire import Member
 from cloverhinge.store import NO_MARK, Judge, Mark, Witness, Word
@@ -263,7 +263,7 @@
     folder.commit({"s/h/1": b"of another form"})
     folder.close()
     shelf = Shelf(tmp_path, Member("r0", 1), lambda *about: None, lambda *about: None, lambda why: None)
-    assert shelf.recall.stands is Stands.OUT and "does not know" in shelf.recall.why
+    assert shelf.recall.state is StoreState.OUT and "does not know" in shelf.recall.unusable_reason
     assert shelf.writer is None and Folder(tmp_path, "r0").open().rows == {"s/h/1": b"of another form"}
 
 
