--- a/cloverhinge/ownership/register.py
+++ b/cloverhinge/ownership/register.py
@@ -186,7 +186,7 @@
 def with_next_owner(work: Work, owner: str, **changed: object) -> Work:
     """The same work with its next owner."""
     past = (*work.past_owners, work.owner)[-MAX_PAST_OWNERS:]
-    return msgspec.structs.replace(work, owner=owner, epoch=work.epoch + 1, past=past, **changed)
+    return msgspec.structs.replace(work, owner=owner, epoch=work.epoch + 1, past_owners=past, **changed)
 
 
 def value_after_takeover(found: Work | None, asker: str, intent: Work) -> Work:
