--- a/cloverhinge/ownership/model.py
+++ b/cloverhinge/ownership/model.py
@@ -54,7 +54,7 @@
 
     id: str
     work: Work
-    found: Work | None  # None: handed over by its owner's word
+    previous: Work | None  # None: handed over by its owner's word
 
 
 @dataclass(frozen=True, slots=True)
@@ -177,10 +177,10 @@
     deferrable: bool = False  # nobody waits for it
     yields: int = 0  # to other ballots
 
-    def join(self, number: int, soon_ms: float, until_ms: float) -> None:
+    def join(self, caller: int, deadline_ms: float, owned_deadline_ms: float) -> None:
         """One more waits for what comes of it."""
-        self.callers.append(number)
+        self.callers.append(caller)
         self.deadline_ms, self.owned_deadline_ms = (
-            max(self.deadline_ms, soon_ms),
-            max(self.owned_deadline_ms, until_ms),
+            max(self.deadline_ms, deadline_ms),
+            max(self.owned_deadline_ms, owned_deadline_ms),
         )
--- a/cloverhinge/ownership/persistence.py
+++ b/cloverhinge/ownership/persistence.py
@@ -68,7 +68,7 @@
     work: Work | None
 
 
-_rows: msgspec.msgpack.Decoder[SlotRow] = msgspec.msgpack.Decoder(SlotRow)
+_row_decoder: msgspec.msgpack.Decoder[SlotRow] = msgspec.msgpack.Decoder(SlotRow)
 
 
 @dataclass(slots=True)
@@ -84,26 +84,26 @@
 def decode_rows(rows: Mapping[str, bytes]) -> RestoredState:
     """Raises ValueError: rows that this version does not know, though the store holds them whole."""
     try:
-        return _read(rows)
+        return _decode_rows(rows)
     except msgspec.MsgspecError as error:
         raise ValueError(str(error)) from None
 
 
-def _read(rows: Mapping[str, bytes]) -> RestoredState:
-    votes, lives, slots, heard = VoteState(None), tuple[str, ...](), dict[str, Slot](), dict[str, Mark]()
+def _decode_rows(rows: Mapping[str, bytes]) -> RestoredState:
+    vote_state, runs, slots, marks = VoteState(None), tuple[str, ...](), dict[str, Slot](), dict[str, Mark]()
     for key, value in rows.items():
         if key == REPLICA_SET_KEY:
-            votes = msgspec.msgpack.decode(value, type=VoteState)
+            vote_state = msgspec.msgpack.decode(value, type=VoteState)
         elif key == RUNS_KEY:
-            lives = msgspec.msgpack.decode(value, type=tuple[str, ...])
+            runs = msgspec.msgpack.decode(value, type=tuple[str, ...])
         elif key.startswith(SLOT_PREFIX):
-            row = _rows.decode(value)
+            row = _row_decoder.decode(value)
             slots[key.removeprefix(SLOT_PREFIX)] = Slot(row.promised, row.accepted, row.work)
         elif key.startswith(MARK_PREFIX):
-            heard[key.removeprefix(MARK_PREFIX)] = msgspec.msgpack.decode(value, type=Mark)
+            marks[key.removeprefix(MARK_PREFIX)] = msgspec.msgpack.decode(value, type=Mark)
         else:
             raise ValueError(f"nothing is called {key[:40]}")
-    return RestoredState(votes, lives, slots, heard)
+    return RestoredState(vote_state, runs, slots, marks)
 
 
 @dataclass(frozen=True, slots=True)
@@ -134,12 +134,12 @@
     last_number: int = 0  # number of the last rows
     durable_number: int = 0  # and of the last that are on the disk
     vote_state: VoteState = field(default_factory=lambda: VoteState(None))  # as written last
-    _held: deque[tuple[int, str, wire.Items, bool]] = field(default_factory=deque)
+    _held_back: deque[tuple[int, str, wire.Items, bool]] = field(default_factory=deque)
     _void: bool = False
     _above: Mark = NO_MARK
-    _lives_told: int = 0  # number of the rows that hold this run among the lives
-    _heard_ms: float = -1e12
-    _claimed_ms: float = -1e12
+    _runs_number: int = 0  # number of the rows that hold this run among the lives
+    _marks_written_ms: float = -1e12
+    _claim_sent_ms: float = -1e12
 
     @classmethod
     def from_folder(
@@ -148,28 +148,28 @@
         """Of a folder as it was opened.  One whose roster does not name this router rests on nothing that
         others count on.  Raises ValueError as `read` does."""
         made = cls(own, mark, runs=(own.member_id,))
-        brought = decode_rows(rows)
-        for name, heard in brought.marks.items():
+        restored = decode_rows(rows)
+        for name, heard in restored.marks.items():
             made.witness.heard[name] = heard
-        roster = brought.vote_state.replica_set
+        replica_set = restored.vote_state.replica_set
         if (
             claim != NO_MARK
-            and roster is not None
-            and any(x.member_id in brought.runs for x in (*roster.members, *roster.sources))
+            and replica_set is not None
+            and any(x.member_id in restored.runs for x in (*replica_set.members, *replica_set.sources))
         ):
-            made.restored, made.state = brought, StoreState.JUDGING
-            made.judge = Judge(own.name, claim, (x.name for x in roster.members))
+            made.restored, made.state = restored, StoreState.JUDGING
+            made.judge = Judge(own.name, claim, (x.name for x in replica_set.members))
         elif claim != NO_MARK:
-            made._begin_anew()  # the records of another life, which nobody counts on
+            made._discard_earlier()  # the records of another life, which nobody counts on
         return made
 
-    def _begin_anew(self) -> None:
+    def _discard_earlier(self) -> None:
         self._void = True
         self.witness.changed.update(self.witness.heard)
 
     @classmethod
-    def unusable(cls, own: Member, why: str) -> ReplicaPersistence:
-        return cls(own, state=StoreState.OUT, unusable_reason=why)
+    def unusable(cls, own: Member, reason: str) -> ReplicaPersistence:
+        return cls(own, state=StoreState.OUT, unusable_reason=reason)
 
     @property
     def outgoing_mark(self) -> Mark:
@@ -179,7 +179,7 @@
     @property
     def announced_state(self) -> StoreState:
         """To others, who may make a roster of it: not before its folder would know this run again."""
-        waits = self.state is StoreState.WHOLE and not 0 < self._lives_told <= self.durable_number
+        waits = self.state is StoreState.WHOLE and not 0 < self._runs_number <= self.durable_number
         return StoreState.JUDGING if waits else self.state
 
     @property
@@ -188,49 +188,49 @@
 
     # What waits for the disk
 
-    def barrier(self, votes: VoteState) -> int:
+    def barrier(self, vote_state: VoteState) -> int:
         """What is said now rests on rows up to this number."""
-        waiting = self.changed_ids or self._void or not self._lives_told or votes != self.vote_state
+        waiting = self.changed_ids or self._void or not self._runs_number or vote_state != self.vote_state
         return self.last_number + 1 if waiting else self.last_number
 
-    def hold_back(self, who: str, item: wire.Items, soon: bool, votes: VoteState) -> bool:
+    def hold_back(self, member_id: str, item: wire.Items, deferrable: bool, vote_state: VoteState) -> bool:
         """Whether this has to wait; it is given back by `durable`.  What a router that is out should bind
         itself to is dropped."""
         if not isinstance(item, BINDING):
             return False
         if self.state is StoreState.OUT:
             return True
-        barrier = self.barrier(votes)
+        barrier = self.barrier(vote_state)
         if barrier <= self.durable_number:
             return False
-        if len(self._held) < MAX_HELD_BACK:  # else it is asked for again
-            self._held.append((barrier, who, item, soon))
+        if len(self._held_back) < MAX_HELD_BACK:  # else it is asked for again
+            self._held_back.append((barrier, member_id, item, deferrable))
         return True
 
-    def take_rows(self, now: float, keeper: Replica, votes: VoteState) -> Persist | None:
+    def take_rows(self, now: float, replica: Replica, vote_state: VoteState) -> Persist | None:
         """What has changed since the last call."""
         if self.state in (StoreState.OUT, StoreState.JUDGING):
             return None
         rows: dict[str, bytes | None] = {}
         for id in self.changed_ids:
-            slot = keeper.slots.get(id)
+            slot = replica.slots.get(id)
             rows[SLOT_PREFIX + id] = (
                 None
                 if slot is None
                 else msgspec.msgpack.encode(SlotRow(slot.promised, slot.accepted, slot.work))
             )
         self.changed_ids.clear()
-        if not self._lives_told:
-            self._lives_told = self.last_number + 1
+        if not self._runs_number:
+            self._runs_number = self.last_number + 1
             rows[RUNS_KEY] = msgspec.msgpack.encode(self.runs)
-        if votes != self.vote_state:
-            self.vote_state = votes
-            rows[REPLICA_SET_KEY] = msgspec.msgpack.encode(votes)
-        if self.witness.changed and now - self._heard_ms >= MARK_INTERVAL_MS:
-            self._heard_ms = now
+        if vote_state != self.vote_state:
+            self.vote_state = vote_state
+            rows[REPLICA_SET_KEY] = msgspec.msgpack.encode(vote_state)
+        if self.witness.changed and now - self._marks_written_ms >= MARK_INTERVAL_MS:
+            self._marks_written_ms = now
             for name in self.witness.changed:
-                heard = self.witness.heard.get(name)
-                rows[MARK_PREFIX + name] = None if heard is None else msgspec.msgpack.encode(heard)
+                mark = self.witness.heard.get(name)
+                rows[MARK_PREFIX + name] = None if mark is None else msgspec.msgpack.encode(mark)
             self.witness.changed.clear()
         if not rows and not self._void and self._above == NO_MARK:
             return None
@@ -242,62 +242,62 @@
     def on_durable(self, number: int, mark: Mark) -> list[tuple[str, wire.Items, bool]]:
         """What may be said now, in order."""
         self.durable_number, self.mark = max(self.durable_number, number), max(self.mark, mark)
-        free = []
-        while self._held and self._held[0][0] <= self.durable_number:
-            free.append(self._held.popleft()[1:])
-        return free
+        released = []
+        while self._held_back and self._held_back[0][0] <= self.durable_number:
+            released.append(self._held_back.popleft()[1:])
+        return released
 
-    def fail(self, why: str) -> None:
+    def fail(self, reason: str) -> None:
         """From now on nothing is kept here; what waits is never said."""
-        self.state, self.unusable_reason = StoreState.OUT, why
-        self._held.clear()
+        self.state, self.unusable_reason = StoreState.OUT, reason
+        self._held_back.clear()
         self.restored = self.judge = None
 
     # Judging
 
     def due_claim(self, now: float) -> wire.StoreClaim | None:
         """For all members that have not answered yet."""
-        if self.judge is None or now - self._claimed_ms < CLAIM_INTERVAL_MS:
+        if self.judge is None or now - self._claim_sent_ms < CLAIM_INTERVAL_MS:
             return None
-        self._claimed_ms = now
+        self._claim_sent_ms = now
         return wire.StoreClaim(*self.judge.claim)
 
     def answer_claim(self, name: str, claim: wire.StoreClaim) -> wire.StoreClaimAnswer:
         """Of what was heard of another's store."""
-        told = Mark(claim.generation, claim.position)
+        mark = Mark(claim.generation, claim.position)
         return wire.StoreClaimAnswer(
-            *told, self.witness.allows(name, told), *self.witness.heard.get(name, NO_MARK)
+            *mark, self.witness.allows(name, mark), *self.witness.heard.get(name, NO_MARK)
         )
 
-    def on_claim_answer(self, name: str, told: wire.StoreClaimAnswer) -> Word:
+    def on_claim_answer(self, name: str, answer: wire.StoreClaimAnswer) -> Word:
         """Another's word on this store; the verdict so far."""
         if self.judge is None:
-            self._above = max(self._above, Mark(told.heard_generation, told.heard_position))
+            self._above = max(self._above, Mark(answer.heard_generation, answer.heard_position))
             return Word.WAITING
-        self.judge.heard(name, Mark(told.generation, told.position), told.allows)
+        self.judge.heard(name, Mark(answer.generation, answer.position), answer.allows)
         if self.judge.word is Word.BEHIND:
-            self._above = max(self._above, Mark(told.heard_generation, told.heard_position))
+            self._above = max(self._above, Mark(answer.heard_generation, answer.heard_position))
         return self.judge.word
 
     def conclude(self, whole: bool) -> RestoredState | None:
         """What is to be believed of it, if anything."""
-        brought, self.restored, self.judge = self.restored, None, None
+        restored, self.restored, self.judge = self.restored, None, None
         if whole:
             self.state = StoreState.WHOLE
-            assert brought is not None
-            self.runs = (*brought.runs, self.own.member_id)[-MAX_RUNS:]
-            self.vote_state = brought.vote_state
-            return brought
+            assert restored is not None
+            self.runs = (*restored.runs, self.own.member_id)[-MAX_RUNS:]
+            self.vote_state = restored.vote_state
+            return restored
         self.state = StoreState.FORGOT
-        self._begin_anew()
+        self._discard_earlier()
         return None
 
     def note_mark(self, name: str, mark: Mark) -> wire.StoreClaimAnswer | None:
         """A mark that came with a message; an answer where that router has had later ones."""
         if mark == NO_MARK:
             return None
-        heard = self.witness.heard.get(name, NO_MARK)
-        if mark.generation < heard.generation:
-            return wire.StoreClaimAnswer(*mark, False, *heard)
+        latest = self.witness.heard.get(name, NO_MARK)
+        if mark.generation < latest.generation:
+            return wire.StoreClaimAnswer(*mark, False, *latest)
         self.witness.note(name, mark)
         return None
--- a/cloverhinge/ownership/register.py
+++ b/cloverhinge/ownership/register.py
@@ -168,15 +168,15 @@
         newest = max((x for _, x in self.promises), key=lambda x: x.accepted, default=None)
         return None if newest is None else newest.work
 
-    def receive(self, keeper: int, reply: Reply) -> Proposal:
+    def receive(self, replica: int, reply: Reply) -> Proposal:
         """Replies to other ballots, and second ones, change nothing."""
         if reply.ballot != self.ballot:
             return self
-        if isinstance(reply, Promise) and keeper not in (x for x, _ in self.promises) and self.work is None:
-            promises = sorted((*self.promises, (keeper, reply)), key=lambda x: x[0])
+        if isinstance(reply, Promise) and replica not in (x for x, _ in self.promises) and self.work is None:
+            promises = sorted((*self.promises, (replica, reply)), key=lambda x: x[0])
             return replace(self, promises=tuple(promises))
         if isinstance(reply, Accepted):
-            return replace(self, written=self.written | {keeper})
+            return replace(self, written=self.written | {replica})
         return self
 
     def with_value(self, work: Work) -> Proposal:
@@ -185,8 +185,10 @@
 
 def with_next_owner(work: Work, owner: str, **changed: object) -> Work:
     """The same work with its next owner."""
-    past = (*work.past_owners, work.owner)[-MAX_PAST_OWNERS:]
-    return msgspec.structs.replace(work, owner=owner, epoch=work.epoch + 1, past=past, **changed)
+    past_owners = (*work.past_owners, work.owner)[-MAX_PAST_OWNERS:]
+    return msgspec.structs.replace(
+        work, owner=owner, epoch=work.epoch + 1, past_owners=past_owners, **changed
+    )
 
 
 def value_after_takeover(found: Work | None, asker: str, intent: Work) -> Work:
--- a/cloverhinge/ownership/replica.py
+++ b/cloverhinge/ownership/replica.py
@@ -20,15 +20,15 @@
 class Replica:
     """`lease_ms` for a lease; `lasts_ms` for which an answer that stays, or a mere promise, is kept."""
 
-    def __init__(self, lease_ms: float, lasts_ms: float, most: int = MAX_SLOTS) -> None:
-        self.lease_ms, self.retention_ms, self.max_slots = lease_ms, lasts_ms, most
+    def __init__(self, lease_ms: float, retention_ms: float, max_slots: int = MAX_SLOTS) -> None:
+        self.lease_ms, self.retention_ms, self.max_slots = lease_ms, retention_ms, max_slots
         self.slots: dict[str, Slot] = {}
         self.ids_by_owner: dict[str, set[str]] = {}
         self.lease_ends_ms: dict[str, float] = {}  # whose, until when
         self.generations: dict[str, int] = {}
         self.first_generation = 0  # the roster's first generation
-        self._lapsing: SortedDict[tuple[float, str], None] = SortedDict()
-        self._lapses: dict[str, float] = {}
+        self._expiry_queue: SortedDict[tuple[float, str], None] = SortedDict()
+        self._expires_ms: dict[str, float] = {}
         self.changed_ids: dict[str, None] | None = (
             None  # ids of slots, where somebody writes down what changes
         )
@@ -52,42 +52,48 @@
     def generation(self, owner: str) -> int:
         return self.generations.get(owner, self.first_generation)
 
-    def prepare(self, now: float, who: str, ask: wire.Prepare, hole: bool) -> wire.Items:
-        slot = self.slots.get(ask.id, EMPTY_SLOT)
-        if ask.id not in self.slots and len(self.slots) >= self.max_slots:
-            return wire.Refused(ask.id, ask.ballot, RefusalReason.FULL)
+    def prepare(self, now: float, proposer: str, request: wire.Prepare, hole: bool) -> wire.Items:
+        slot = self.slots.get(request.id, EMPTY_SLOT)
+        if request.id not in self.slots and len(self.slots) >= self.max_slots:
+            return wire.Refused(request.id, request.ballot, RefusalReason.FULL)
         owner = register.active_owner(slot.work)
-        after, reply = register.prepare(slot, ask.ballot, who, self.lease_left_ms(owner, now))
+        after, reply = register.prepare(slot, request.ballot, proposer, self.lease_left_ms(owner, now))
         if isinstance(reply, register.Promise):
-            self._put(now, ask.id, after)
-            if owner and owner != who:
+            self._put(now, request.id, after)
+            if owner and owner != proposer:
                 self._fence(owner)
-            return wire.Promised(ask.id, ask.ballot, reply.accepted, reply.work, hole)
+            return wire.Promised(request.id, request.ballot, reply.accepted, reply.work, hole)
         assert isinstance(reply, register.Denied)
-        why = RefusalReason.LEASE if reply.owner else RefusalReason.BALLOT
-        return wire.Refused(ask.id, ask.ballot, why, reply.promised, reply.owner, reply.lease_left_ms)
+        reason = RefusalReason.LEASE if reply.owner else RefusalReason.BALLOT
+        return wire.Refused(
+            request.id, request.ballot, reason, reply.promised, reply.owner, reply.lease_left_ms
+        )
 
-    def write(self, now: float, who: str, told: wire.Write, hole: bool) -> wire.Items:
-        slot = self.slots.get(told.id, EMPTY_SLOT)
+    def write(self, now: float, proposer: str, request: wire.Write, hole: bool) -> wire.Items:
+        slot = self.slots.get(request.id, EMPTY_SLOT)
         if slot is EMPTY_SLOT and len(self.slots) >= self.max_slots:
-            return wire.Refused(told.id, told.ballot, RefusalReason.FULL)
-        if hole and told.is_claim:
-            return wire.Refused(told.id, told.ballot, RefusalReason.HOLE)
-        after, reply = register.accept(slot, told.ballot, told.work, told.is_claim)
+            return wire.Refused(request.id, request.ballot, RefusalReason.FULL)
+        if hole and request.is_claim:
+            return wire.Refused(request.id, request.ballot, RefusalReason.HOLE)
+        after, reply = register.accept(slot, request.ballot, request.work, request.is_claim)
         if isinstance(reply, register.Accepted):
-            was = register.active_owner(slot.work)
-            self._put(now, told.id, after)
-            if was and was not in (told.work.owner, who):
-                self._fence(was)
-            return wire.Written(told.id, told.ballot, self.generation(who))
+            previous_owner = register.active_owner(slot.work)
+            self._put(now, request.id, after)
+            if previous_owner and previous_owner not in (request.work.owner, proposer):
+                self._fence(previous_owner)
+            return wire.Written(request.id, request.ballot, self.generation(proposer))
         assert isinstance(reply, register.Denied)
-        return wire.Refused(told.id, told.ballot, RefusalReason.BALLOT, reply.promised)
+        return wire.Refused(request.id, request.ballot, RefusalReason.BALLOT, reply.promised)
 
-    def withdraw(self, now: float, told: wire.Withdraw) -> None:
+    def withdraw(self, now: float, request: wire.Withdraw) -> None:
         """Its promise stays, so that no late copy of the claim is taken."""
-        slot = self.slots.get(told.id, EMPTY_SLOT)
-        if slot.accepted == told.ballot and told.ballot[0] == register.CLAIM_COUNTER and told.ballot[2] == 0:
-            self._put(now, told.id, Slot(slot.promised))
+        slot = self.slots.get(request.id, EMPTY_SLOT)
+        if (
+            slot.accepted == request.ballot
+            and request.ballot[0] == register.CLAIM_COUNTER
+            and request.ballot[2] == 0
+        ):
+            self._put(now, request.id, Slot(slot.promised))
 
     def _fence(self, owner: str) -> None:
         """What this owner counts as written here is not any more, until it has been written again."""
@@ -101,10 +107,10 @@
         if slot.work is not None:
             self.ids_by_owner.setdefault(slot.work.owner, set()).add(id)
         if slot.work is None or slot.work.phase in (Phase.FAILED, Phase.OVER):
-            self._lapses[id] = now + self.retention_ms
-            self._lapsing[now + self.retention_ms, id] = None
+            self._expires_ms[id] = now + self.retention_ms
+            self._expiry_queue[now + self.retention_ms, id] = None
 
-    def _leave(self, owner: str, id: str) -> None:
+    def _remove_from_owner(self, owner: str, id: str) -> None:
         ids = self.ids_by_owner.get(owner)
         if ids is not None:
             ids.discard(id)
@@ -116,9 +122,9 @@
         if slot is not None and self.changed_ids is not None:
             self.changed_ids[id] = None
         if slot is not None and slot.work is not None:
-            self._leave(slot.work.owner, id)
-        if (lapses := self._lapses.pop(id, None)) is not None:
-            del self._lapsing[lapses, id]
+            self._remove_from_owner(slot.work.owner, id)
+        if (expires_ms := self._expires_ms.pop(id, None)) is not None:
+            del self._expiry_queue[expires_ms, id]
 
     def forget_all(self) -> None:
         for id in list(self.slots):
@@ -126,9 +132,9 @@
 
     def expire(self, now: float) -> None:
         """Answers and promises that have been kept for long enough; leases long over."""
-        while self._lapsing and self._lapsing.peekitem(0)[0][0] <= now:
-            self.forget(self._lapsing.peekitem(0)[0][1])
-        for owner in [x for x, until in self.lease_ends_ms.items() if until + self.retention_ms < now]:
+        while self._expiry_queue and self._expiry_queue.peekitem(0)[0][0] <= now:
+            self.forget(self._expiry_queue.peekitem(0)[0][1])
+        for owner in [x for x, ends_ms in self.lease_ends_ms.items() if ends_ms + self.retention_ms < now]:
             del self.lease_ends_ms[
                 owner
             ]  # its generation stays: it may come back with the one that was ended
@@ -143,20 +149,20 @@
         return [(x, self.slots[x].promised, self.slots[x].accepted, self.slots[x].work) for x in ids]
 
     def merge_transfer(
-        self, now: float, told: list[wire.TransferredSlot], leases: list[tuple[str, float]]
+        self, now: float, slots: list[wire.TransferredSlot], leases: list[tuple[str, float]]
     ) -> None:
         """The newest of what the old keepers held; a lease runs on for the longest that any of them told."""
-        for id, promised, accepted, work in told:
-            held = self.slots.get(id, EMPTY_SLOT)
+        for id, promised, accepted, work in slots:
+            own = self.slots.get(id, EMPTY_SLOT)
             newer = Slot(
-                max(held.promised, promised),
-                *((accepted, work) if accepted > held.accepted else (held.accepted, held.work)),
+                max(own.promised, promised),
+                *((accepted, work) if accepted > own.accepted else (own.accepted, own.work)),
             )
-            if newer != held and (id in self.slots or len(self.slots) < self.max_slots):
+            if newer != own and (id in self.slots or len(self.slots) < self.max_slots):
                 self._put(now, id, newer)
-        for owner, left in leases:
-            until = now + min(left, self.lease_ms)
-            self.lease_ends_ms[owner] = max(until, self.lease_ends_ms.get(owner, 0.0))
+        for owner, left_ms in leases:
+            ends_ms = now + min(left_ms, self.lease_ms)
+            self.lease_ends_ms[owner] = max(ends_ms, self.lease_ends_ms.get(owner, 0.0))
 
 
 def prepared_record(owner: str, paid: bool, body: bytes) -> Work:
--- a/cloverhinge/ownership/replica_sets.py
+++ b/cloverhinge/ownership/replica_sets.py
@@ -62,9 +62,9 @@
         self._promised: Ballot = NO_BALLOT
         self._accepted: Ballot = NO_BALLOT
         self._value: ReplicaSet | None = None
-        self._draft: ReplicaSetProposal | None = None
+        self._proposal: ReplicaSetProposal | None = None
         self._wanted: tuple[Member, ...] = ()
-        self._since_ms: float | None = None
+        self._wanted_since_ms: float | None = None
         self._holes: dict[Hole, float] = {}
         self.representatives: dict[
             str, Member
@@ -74,9 +74,9 @@
         )  # runs that remember nothing of earlier ones of their names
         self.restored = False  # this run began with a roster from before its start
         self.settled = False  # all members of the roster were known to vote in it, once
-        self._try_ms = PROPOSAL_TIMEOUT_MS
+        self._proposal_timeout_ms = PROPOSAL_TIMEOUT_MS
         self._yields = 0  # to others' tries at the next roster
-        self._quiet_until_ms = -1e12
+        self._back_off_until_ms = -1e12
         self.vote_suspended = False  # its own store is not judged yet, or failed: it has no voice
 
     @property
@@ -84,26 +84,30 @@
         """What outlives a restart."""
         return VoteState(self.current, self._promised, self._accepted, self._value, self.settled)
 
-    def restore(self, now: float, votes: VoteState) -> None:
+    def restore(self, now: float, vote_state: VoteState) -> None:
         """From a store that is whole: this router has the voice of the run that wrote it."""
-        if votes.replica_set is not None:
-            self.enter(now, votes.replica_set)
-        self._promised, self._accepted, self._value = votes.promised, votes.accepted, votes.value
-        self.settled, self.restored = votes.settled, True
+        if vote_state.replica_set is not None:
+            self.enter(now, vote_state.replica_set)
+        self._promised, self._accepted, self._value = (
+            vote_state.promised,
+            vote_state.accepted,
+            vote_state.value,
+        )
+        self.settled, self.restored = vote_state.settled, True
 
-    def _voice(self, who: str) -> str:
+    def _counted_as(self, member_id: str) -> str:
         """The member as whom this run is counted."""
         members = () if self.current is None else self.current.members
-        return next((x.member_id for x in members if self._now(x).member_id == who), who)
+        return next((x.member_id for x in members if self._current_run(x).member_id == member_id), member_id)
 
-    def _now(self, member: Member) -> Member:
+    def _current_run(self, member: Member) -> Member:
         """The run that speaks for a member."""
         return self.representatives.get(member.member_id, member)
 
     @property
     def is_source(self) -> bool:
         """Whether the others wait for what this router holds."""
-        return self.current is not None and self.own in map(self._now, self.current.sources)
+        return self.current is not None and self.own in map(self._current_run, self.current.sources)
 
     @property
     def number(self) -> int:
@@ -119,7 +123,7 @@
 
     @property
     def is_member(self) -> bool:
-        return self.current is not None and self.own in map(self._now, self.current.members)
+        return self.current is not None and self.own in map(self._current_run, self.current.members)
 
     @property
     def active(self) -> bool:
@@ -132,13 +136,13 @@
         run of their name stands (`runs`): those are gone, and can vote for nothing else.  Where all are gone
         nothing of it is remembered, and a majority of the installation's routers begins anew.
         """
-        if self.current is None or self._gone(runs):
+        if self.current is None or self._all_replaced(runs):
             return len(votes) >= majority(self.routers)
-        members, voices = self.current.members, {self._voice(x) for x in votes}
+        members, voices = self.current.members, {self._counted_as(x) for x in votes}
         if 2 * len(voices) > len(members):
             return True
-        gone = self._replaced(runs)
-        return bool(voices) and all(x.member_id in voices or x in gone for x in members)
+        replaced = self._replaced(runs)
+        return bool(voices) and all(x.member_id in voices or x in replaced for x in members)
 
     def _replaced(self, runs: RunsByName) -> set[Member]:
         """Members in whose place a later run is seen that says that it remembers nothing.
@@ -151,14 +155,14 @@
             return set()
         return {
             x
-            for x, born in zip(self.current.members, self.current.incarnations, strict=True)
-            if (seen := runs.get(x.name)) is not None
-            and seen[0] != x.run
-            and (seen[1] > born or self.restored)
-            and Member(x.name, seen[0]).member_id in self.forgetful_runs
+            for x, incarnation in zip(self.current.members, self.current.incarnations, strict=True)
+            if (current := runs.get(x.name)) is not None
+            and current[0] != x.run
+            and (current[1] > incarnation or self.restored)
+            and Member(x.name, current[0]).member_id in self.forgetful_runs
         }
 
-    def _gone(self, runs: RunsByName) -> bool:
+    def _all_replaced(self, runs: RunsByName) -> bool:
         return self.current is not None and len(self._replaced(runs)) == len(self.current.members)
 
     # Proposing
@@ -170,64 +174,68 @@
         runs: RunsByName,
         settled: bool,
         fresh: bool,
-        lived: bool,
+        earlier_run_known: bool,
     ) -> Outgoing:
         """`wanted`: routers that take part now, in order; `settled`: all of the roster are known to vote;
         `lived`: some of them are remembered from an earlier run; `fresh`: none is, or all are here and have
         no roster."""
-        self.fresh, self.earlier_run_known = fresh, lived
+        self.fresh, self.earlier_run_known = fresh, earlier_run_known
         for hole in [x for x, since in self._holes.items() if now - since > self.hole_ms]:
             del self._holes[hole]
-        held = () if self.current is None else self.current.members
-        voting = {self._now(x) for x in held}
-        self.all_replaced = self._gone(runs)
-        begins = fresh if self.current is None else self.is_member or self.all_replaced
-        if wanted == held or self.own not in wanted or not begins or self.vote_suspended:
-            self._since_ms, self._draft, self.stuck_reason = None, None, ""
+        members = () if self.current is None else self.current.members
+        voting = {self._current_run(x) for x in members}
+        self.all_replaced = self._all_replaced(runs)
+        may_propose = fresh if self.current is None else self.is_member or self.all_replaced
+        if wanted == members or self.own not in wanted or not may_propose or self.vote_suspended:
+            self._wanted_since_ms, self._proposal, self.stuck_reason = None, None, ""
             return []
         if wanted != self._wanted:
-            self._wanted, self._since_ms = wanted, now
-        elif self._since_ms is None:
-            self._since_ms = now
-        draft = self._draft
-        if draft is not None and now - draft.begun_ms < self._try_ms:
-            return self._send(now, draft) if now - draft.sent_ms >= RESEND_MS else []
+            self._wanted, self._wanted_since_ms = wanted, now
+        elif self._wanted_since_ms is None:
+            self._wanted_since_ms = now
+        proposal = self._proposal
+        if proposal is not None and now - proposal.begun_ms < self._proposal_timeout_ms:
+            return self._send(now, proposal) if now - proposal.sent_ms >= RESEND_MS else []
         voters = [x.member_id for x in wanted if self.current is None or self.all_replaced or x in voting]
         if not self.is_quorum(voters, runs):
-            if now - self._since_ms < SETTLE_MS:
+            if now - self._wanted_since_ms < SETTLE_MS:
                 return []
-            needed = self.routers if self.current is None or self.all_replaced else len(held)
+            needed = self.routers if self.current is None or self.all_replaced else len(members)
             self.stuck_reason = f"{len(voters)} of {needed} routers are here, too few to keep work"
-            self._draft = None
+            self._proposal = None
             return []
         self.stuck_reason = ""
         rank = voters.index(self.own.member_id) if self.own.member_id in voters else len(voters)
-        if now - (self._since_ms or now) < SETTLE_MS + rank * STAGGER_MS:
+        if now - (self._wanted_since_ms or now) < SETTLE_MS + rank * STAGGER_MS:
             return []
         ballot = next_ballot(self._promised, 0, self.own.member_id)
-        if now < self._quiet_until_ms:
+        if now < self._back_off_until_ms:
             return []
-        if draft is not None and draft.begun_ms > 0.0:
-            self._try_ms = min(2.0 * self._try_ms, MAX_PROPOSAL_TIMEOUT_MS)  # disks may be slow
-        self._draft = ReplicaSetProposal(ballot, self._next(wanted, runs, settled), now, now)
-        return self._send(now, self._draft)
-
-    def _next(self, wanted: tuple[Member, ...], runs: RunsByName, settled: bool) -> ReplicaSet:
-        roster = self.current
+        if proposal is not None and proposal.begun_ms > 0.0:
+            self._proposal_timeout_ms = min(
+                2.0 * self._proposal_timeout_ms, MAX_PROPOSAL_TIMEOUT_MS
+            )  # disks may be slow
+        self._proposal = ReplicaSetProposal(ballot, self._next_replica_set(wanted, runs, settled), now, now)
+        return self._send(now, self._proposal)
+
+    def _next_replica_set(self, wanted: tuple[Member, ...], runs: RunsByName, settled: bool) -> ReplicaSet:
+        current = self.current
         born = tuple(runs[x.name][1] if x.name in runs else 1 for x in wanted)
-        if roster is None:
+        if current is None:
             # What was kept before all began anew is not known: everything may have been.
             anew = (Hole(0, wanted, tuple(x.member_id for x in wanted)),) if self.earlier_run_known else ()
             return ReplicaSet(self.random.getrandbits(62) + 1, 1, wanted, born, (), anew)
-        known = sorted({*roster.members, *(() if settled else roster.sources)})
-        sources = tuple(sorted({y for x in known if (y := self._now(x)) in wanted}))
-        missing = tuple(x.member_id for x in known if self._now(x) not in wanted)
+        known = sorted({*current.members, *(() if settled else current.sources)})
+        sources = tuple(sorted({y for x in known if (y := self._current_run(x)) in wanted}))
+        missing = tuple(x.member_id for x in known if self._current_run(x) not in wanted)
         holes = list(self._holes)
         if missing:
-            holes.append(Hole(roster.number, roster.members, missing))
+            holes.append(Hole(current.number, current.members, missing))
             if not settled:  # what the one before held may not have been told whole either
                 holes = [Hole(x.number, x.members, tuple(sorted({*x.missing, *missing}))) for x in holes]
-        return ReplicaSet(roster.lineage, roster.number + 1, wanted, born, sources, tuple(holes[-MAX_HOLES:]))
+        return ReplicaSet(
+            current.lineage, current.number + 1, wanted, born, sources, tuple(holes[-MAX_HOLES:])
+        )
 
     def _electors(self) -> list[str]:
         return [
@@ -235,25 +243,25 @@
             for x in (
                 self._wanted
                 if self.current is None or self.all_replaced
-                else map(self._now, self.current.members)
+                else map(self._current_run, self.current.members)
             )
         ]
 
-    def _send(self, now: float, draft: ReplicaSetProposal) -> Outgoing:
-        draft.sent_ms = now
-        if draft.writing is None:
-            ask = wire.ReplicaSetPrepare(self.number, draft.ballot)
-            return [(x, ask) for x in self._electors() if x not in draft.promises]
-        write = wire.ReplicaSetWrite(self.number, draft.ballot, draft.writing)
-        return [(x, write) for x in self._electors() if x not in draft.written]
+    def _send(self, now: float, proposal: ReplicaSetProposal) -> Outgoing:
+        proposal.sent_ms = now
+        if proposal.writing is None:
+            prepare = wire.ReplicaSetPrepare(self.number, proposal.ballot)
+            return [(x, prepare) for x in self._electors() if x not in proposal.promises]
+        write = wire.ReplicaSetWrite(self.number, proposal.ballot, proposal.writing)
+        return [(x, write) for x in self._electors() if x not in proposal.written]
 
     # Voting
 
-    def _votes_after(self, number: int) -> bool:
+    def _may_vote_after(self, number: int) -> bool:
         """Whether this router has a voice in what follows that roster."""
         return not self.vote_suspended and number == self.number and (self.current is not None or self.fresh)
 
-    def _news_for(self, number: int) -> wire.Items | None:
+    def _newer_for(self, number: int) -> wire.Items | None:
         """For one who asks about an earlier roster."""
         return (
             None
@@ -261,102 +269,107 @@
             else wire.ReplicaSetAnnouncement(self.current)
         )
 
-    def _yield(self, now: float) -> None:
+    def _back_off(self, now: float) -> None:
         """Another tries: it is left alone for longer each time, so that two do not undo each other's."""
         self._yields += 1
         if self._yields > 1:
-            self._quiet_until_ms = now + min(
+            self._back_off_until_ms = now + min(
                 SETTLE_MS * 2.0 ** min(self._yields - 2, 8), MAX_PROPOSAL_TIMEOUT_MS
             )
 
-    def on_prepare(self, now: float, ask: wire.ReplicaSetPrepare) -> wire.Items | None:
-        if not self._votes_after(ask.number):
-            return self._news_for(ask.number)
-        if ask.ballot <= self._promised:
-            return wire.ReplicaSetRefused(ask.number, ask.ballot, self._promised)
-        if ask.ballot[1] != self.own.member_id:
-            self._draft = None  # its own try is void: the other's may be counted without the dead
-            self._yield(now)
-        self._promised = ask.ballot
-        return wire.ReplicaSetPromised(ask.number, ask.ballot, self._accepted, self._value)
-
-    def on_write(self, told: wire.ReplicaSetWrite) -> wire.Items | None:
-        if not self._votes_after(told.number):
-            return self._news_for(told.number)
-        if told.ballot < self._promised:
-            return wire.ReplicaSetRefused(told.number, told.ballot, self._promised)
-        self._promised = self._accepted = told.ballot
-        self._value = told.value
-        return wire.ReplicaSetWritten(told.number, told.ballot)
-
-    def on_promised(self, now: float, who: str, told: wire.ReplicaSetPromised, runs: RunsByName) -> Outgoing:
-        draft = self._draft
+    def on_prepare(self, now: float, prepare: wire.ReplicaSetPrepare) -> wire.Items | None:
+        if not self._may_vote_after(prepare.number):
+            return self._newer_for(prepare.number)
+        if prepare.ballot <= self._promised:
+            return wire.ReplicaSetRefused(prepare.number, prepare.ballot, self._promised)
+        if prepare.ballot[1] != self.own.member_id:
+            self._proposal = None  # its own try is void: the other's may be counted without the dead
+            self._back_off(now)
+        self._promised = prepare.ballot
+        return wire.ReplicaSetPromised(prepare.number, prepare.ballot, self._accepted, self._value)
+
+    def on_write(self, write: wire.ReplicaSetWrite) -> wire.Items | None:
+        if not self._may_vote_after(write.number):
+            return self._newer_for(write.number)
+        if write.ballot < self._promised:
+            return wire.ReplicaSetRefused(write.number, write.ballot, self._promised)
+        self._promised = self._accepted = write.ballot
+        self._value = write.value
+        return wire.ReplicaSetWritten(write.number, write.ballot)
+
+    def on_promised(
+        self, now: float, member_id: str, promised: wire.ReplicaSetPromised, runs: RunsByName
+    ) -> Outgoing:
+        proposal = self._proposal
         if (
-            draft is None
-            or told.number != self.number
-            or told.ballot != draft.ballot
-            or draft.writing is not None
-            or who not in self._electors()
+            proposal is None
+            or promised.number != self.number
+            or promised.ballot != proposal.ballot
+            or proposal.writing is not None
+            or member_id not in self._electors()
         ):
             return []
-        draft.promises[who] = told.accepted, told.value
-        if not self.is_quorum(draft.promises, runs):
+        proposal.promises[member_id] = promised.accepted, promised.value
+        if not self.is_quorum(proposal.promises, runs):
             return []
-        newest = max(draft.promises.values(), key=lambda x: x[0])
-        draft.writing = newest[1] or draft.value
-        return self._send(now, draft)
+        newest = max(proposal.promises.values(), key=lambda x: x[0])
+        proposal.writing = newest[1] or proposal.value
+        return self._send(now, proposal)
 
-    def on_written(self, who: str, told: wire.ReplicaSetWritten, runs: RunsByName) -> ReplicaSet | None:
+    def on_written(
+        self, member_id: str, written: wire.ReplicaSetWritten, runs: RunsByName
+    ) -> ReplicaSet | None:
         """The next roster, once it is decided."""
-        draft = self._draft
+        proposal = self._proposal
         if (
-            draft is None
-            or draft.writing is None
-            or told.number != self.number
-            or told.ballot != draft.ballot
-            or who not in self._electors()
+            proposal is None
+            or proposal.writing is None
+            or written.number != self.number
+            or written.ballot != proposal.ballot
+            or member_id not in self._electors()
         ):
             return None
-        draft.written.add(who)
-        return draft.writing if self.is_quorum(draft.written, runs) else None
+        proposal.written.add(member_id)
+        return proposal.writing if self.is_quorum(proposal.written, runs) else None
 
-    def on_refused(self, now: float, told: wire.ReplicaSetRefused) -> None:
-        if self._draft is not None and told.ballot == self._draft.ballot:
-            self._promised = max(self._promised, told.promised)
-            self._draft.begun_ms = -1e12  # begins anew above it, once the other had its time
-            self._yield(now)
+    def on_refused(self, now: float, refused: wire.ReplicaSetRefused) -> None:
+        if self._proposal is not None and refused.ballot == self._proposal.ballot:
+            self._promised = max(self._promised, refused.promised)
+            self._proposal.begun_ms = -1e12  # begins anew above it, once the other had its time
+            self._back_off(now)
 
     # Following
 
-    def is_newer(self, roster: ReplicaSet) -> bool:
+    def is_newer(self, replica_set: ReplicaSet) -> bool:
         """Whether this is news of this router's own lineage, or its first."""
         return self.current is None or (
-            roster.lineage == self.current.lineage and roster.number > self.current.number
+            replica_set.lineage == self.current.lineage and replica_set.number > self.current.number
         )
 
-    def enter(self, now: float, roster: ReplicaSet) -> None:
-        self.current, self.completed_sources, self.active_since_ms = roster, set(), None
+    def enter(self, now: float, replica_set: ReplicaSet) -> None:
+        self.current, self.completed_sources, self.active_since_ms = replica_set, set(), None
         self.settled = False
-        self._try_ms, self._yields, self._quiet_until_ms = PROPOSAL_TIMEOUT_MS, 0, -1e12
+        self._proposal_timeout_ms, self._yields, self._back_off_until_ms = PROPOSAL_TIMEOUT_MS, 0, -1e12
         self._promised = self._accepted = NO_BALLOT
-        self._value = self._draft = None
-        self._since_ms, self.stuck_reason = None, ""
-        for hole in roster.holes:
+        self._value = self._proposal = None
+        self._wanted_since_ms, self.stuck_reason = None, ""
+        for hole in replica_set.holes:
             self._holes.setdefault(hole, now)
-        self._look(now)
+        self._activate_if_complete(now)
 
-    def source_completed(self, now: float, who: str) -> None:
+    def source_completed(self, now: float, member_id: str) -> None:
         """A source has told all that it holds for this one."""
-        self.completed_sources.add(who)
-        self._look(now)
+        self.completed_sources.add(member_id)
+        self._activate_if_complete(now)
 
-    def _look(self, now: float) -> None:
+    def _activate_if_complete(self, now: float) -> None:
         if (
             self.active_since_ms is None
             and self.current is not None
             and self.own in self.current.members
             and all(
-                {x.member_id, self._now(x).member_id} & self.completed_sources for x in self.current.sources
+                {x.member_id, self._current_run(x).member_id} & self.completed_sources
+                for x in self.current.sources
             )
         ):
             self.active_since_ms = now
