--- a/cloverhinge/ownership/core.py
+++ b/cloverhinge/ownership/core.py
@@ -1,8 +1,8 @@
-"""Custody as a machine of events: a time and what was heard go in, messages and verdicts come out.  Pure.
+"""Ownership of replicated records as a state machine: events with a time go in, actions come out.  Pure.
 
-Each piece of work is a register over its keepers.  This router keeps some records for others, owns those that
-it acts on, and tries for those that its viewers come for or whose owner is gone.  See docs/design/custody.md
-for what is promised.
+Each piece of work is a register that is replicated on several routers.  This router holds replicas of other
+routers' records, owns the records that it acts on, and tries to acquire those that its viewers ask for or
+whose owner is gone.  See docs/design/custody.md for the guarantees.  Times are ms of the caller's clock.
 """
 
 from __future__ import annotations
@@ -44,43 +44,51 @@
 from cloverhinge.store import NO_MARK, Mark
 from cloverhinge.store import Word as JudgeWord
 
-TICK_MS = 25.0  # pace of looking: what was lost on its way is sent again after two of them
-USABLE_LEASE_SHARE = 0.9  # of a lease that its owner counts on: clocks may differ by a tenth before it errs
-RENEWALS_PER_LEASE = 3.0  # tries in a lease's time, so that two in a row may be lost
-SILENT_AFTER_LEASES = 2.0  # times a lease: who was not heard for so long takes no part
-BACKOFF_MS, MAX_BACKOFF_MS = 30.0, 960.0  # at most, by lot, before a higher ballot; twice as long each time
-HAND_OVER_TIMEOUT_MS = 200.0  # an owner that says nothing for so long is asked no more: its lease decides
-HAND_OVER_RETRY_MS = 50.0  # while a set-up that a viewer came for is under way at its owner
-HOLE_WAIT_MS = 400.0  # a keeper that lost others' memory waits so long for owners to write again
-BACKUP_TAKEOVER_DELAY_MS = 1200.0  # the next keeper takes over what the first one should have
-OWNERLESS_SCAN_MS = 250.0  # between looks for records whose owner is gone
-TAKEOVERS_PER_TICK = 25  # taken up in a tick: a thousand a second
-SURPLUS_QUERY_DELAY_MS = (
-    2000.0  # a keeper that knows of more records than their owner for so long is asked for them
-)
-TAKEOVER_TIMEOUT_MS = 5000.0  # for one try at such a record
-REWRITES_PER_TICK = 100  # records written again in a tick: 4,000 a second
-UNKNOWN_EPOCH = 1 << 32  # epoch of a verdict on what is unknown: above that of any owner who comes back
+TICK_MS = 25.0  # interval between calls of `tick`; lost messages are sent again after two of them
+# The share of a granted lease that its owner relies on: safe while clocks drift apart by less than a tenth.
+USABLE_LEASE_SHARE = 0.9
+RENEWALS_PER_LEASE = 3.0  # renewals sent during one lease, so that two in a row may be lost
+SILENT_AFTER_LEASES = 2.0  # a member that sent nothing for so many leases is left out of the replica set
+# Upper bound of the random back-off before a higher ballot; doubled with each retry up to the second figure.
+BACKOFF_MS, MAX_BACKOFF_MS = 30.0, 960.0
+# An owner that sends no answer for so long is not asked again: the record is free when its lease ends.
+HAND_OVER_TIMEOUT_MS = 200.0
+HAND_OVER_RETRY_MS = 50.0  # between hand-over requests while the owner's set-up of the record is under way
+HOLE_WAIT_MS = 400.0  # for records that may have been lost: time for their owners to write them again
+BACKUP_TAKEOVER_DELAY_MS = 1200.0  # after which a second replica takes over what the first one should have
+OWNERLESS_SCAN_MS = 250.0  # between scans for records whose owner is gone
+TAKEOVERS_PER_TICK = 25  # begun in a tick: a thousand a second
+# A replica that holds more of an owner's records than the owner knows of, for so long, is asked to list them.
+SURPLUS_QUERY_DELAY_MS = 2000.0
+TAKEOVER_TIMEOUT_MS = 5000.0  # of one attempt to take over an ownerless or forgotten record
+REWRITES_PER_TICK = 100  # records sent again to their replicas in a tick: 4,000 a second
+UNKNOWN_EPOCH = 1 << 32  # epoch of a failure for lost records: above that of any owner that comes back
 MAX_OWNED = 65_536  # records owned
-MAX_ACQUISITIONS = 4096
-MAX_PENDING_HAND_OVERS, HAND_OVER_EXPIRY_MS = 4096, 5000.0  # hand-overs told again until the other thanks
-MAX_UNUSED = 4096  # one that is forgotten is taken for one that was acted on
-MAX_PENDING_REQUESTS = 8  # questions for a lease whose answers still count
+MAX_ACQUISITIONS = 4096  # attempts under way
+# Hand-overs are sent again until they are acknowledged, or dropped after this time.
+MAX_PENDING_HAND_OVERS, HAND_OVER_EXPIRY_MS = 4096, 5000.0
+MAX_UNUSED = 4096  # unused prepared records that are remembered; a dropped one counts as acted on
+MAX_PENDING_REQUESTS = 8  # lease requests to a peer whose answers still count
 
 
 class OwnershipCore:
+    """One router's side of the ownership protocol: replica, owner and proposer in one.
+
+    Every event method takes the time in ms and returns the actions for the caller to carry out, in order.
+    """
+
     def __init__(
         self, own: Member, rules: Rules, seed: int, persistence: ReplicaPersistence | None = None
     ) -> None:
-        """`recall`: of this router's store, where it has one."""
+        """`persistence`: of this router's store, where it has one; `seed`: of all random draws."""
         self.own, self.rules, self.persistence = own, rules, persistence
         self.own_id = own.member_id
         self.random = random.Random(seed)
         self.replica = Replica(rules.lease_ms, rules.retention_ms)
         self.replica_sets = ReplicaSetManager(own, rules.routers, rules.hole_ms, self.random.getrandbits(62))
         self.peers: dict[str, Peer] = {self.own_id: Peer(own)}
-        self.alive: dict[str, Member] = {self.own_id: own}  # as membership has it
-        self.runs: dict[str, tuple[int, int]] = {}  # by name: run and incarnation
+        self.alive: dict[str, Member] = {self.own_id: own}  # as the membership reports them, by member id
+        self.runs: dict[str, tuple[int, int]] = {}  # by router name: run and incarnation
         self.earlier_run_known = False
         self.spare_capacity: Mapping[str, float] = {}
         self.owned: dict[str, OwnedRecord] = {}
@@ -91,32 +99,37 @@
         self._outbox: dict[str, list[msgspec.Raw]] = {}
         self._send_now = False
         self._local_items: deque[wire.Items] = deque()
-        self._under_replicated: dict[str, None] = {}  # records that some keeper does not hold yet, in order
+        self._under_replicated: dict[str, None] = {}  # ids of records that some replica lacks, in order
         self._ownerless: SortedDict[tuple[float, str], None] = SortedDict()
         self._queued: set[str] = set()
         self._pending_hand_overs: OrderedDict[str, tuple[str, wire.HandOver, float, float]] = OrderedDict()
         self._unacknowledged_parts: dict[tuple[str, int], tuple[wire.TransferPart, float]] = {}
         self._received_parts: dict[str, set[int]] = {}
-        self._replica_counts: Counter[str] = Counter()  # records of this router's, by who should keep them
-        self._unused: OrderedDict[str, None] = OrderedDict()  # intents written and given up before any act
+        self._replica_counts: Counter[str] = Counter()  # records owned here, by the replica
+        # Records that were prepared here and given up before the set-up was sent.
+        self._unused: OrderedDict[str, None] = OrderedDict()
         self._last_ballot: Ballot = NO_BALLOT
         self._seq = 0
         self._scanned_ms = -1e12
         self._purged = True
         self._reported_stuck = ""
         self._votes_in_set = 0, 0
-        self._votes_barrier = 0  # the rows that have to be safe before others count on this one's votes
-        self._restored_unconfirmed = False  # what was brought has not come into a roster of this run's yet
+        self._votes_barrier = (
+            0  # rows up to this number are durable before others count on this router's votes
+        )
+        self._restored_unconfirmed = (
+            False  # state was restored, and this run has not entered a replica set yet
+        )
         if persistence is not None:
             self.replica.changed_ids = persistence.changed_ids
             self.replica_sets.vote_suspended = not persistence.usable
             if persistence.unusable_reason:
                 self._actions.append(LogMessage(f"keeps nothing for others: {persistence.unusable_reason}"))
 
-    # What may be asked at any time
+    # Queries
 
     def may_act(self, id: str, now: float) -> bool:
-        """Whether this router owns the record at this moment, as a majority of its keepers has it."""
+        """Whether this router owns the record now, under running leases of a majority of its replicas."""
         record = self.owned.get(id)
         if record is None or record.work.owner != self.own_id:
             return False
@@ -124,13 +137,14 @@
         return leased >= register.majority(len(record.replicas))
 
     def known_work(self, id: str) -> Work | None:
-        """What is known of it here."""
+        """The record's value, as its owner or a replica here knows it; None where neither has it."""
         if id in self.owned:
             return self.owned[id].work
         slot = self.replica.slots.get(id)
         return None if slot is None else slot.work
 
     def replicas_of(self, id: str) -> tuple[str, ...]:
+        """Member ids of the record's replicas in the current replica set; empty where there is none."""
         replica_set = self.replica_sets.current
         return (
             ()
@@ -140,7 +154,7 @@
 
     @property
     def idle(self) -> bool:
-        """Nothing is on its way to another owner, and nothing of this router's has to be."""
+        """Whether no hand-over is pending and no record is being handed over."""
         return not self._pending_hand_overs and not any(x.hand_over_to for x in self.owned.values())
 
     # Events
@@ -148,7 +162,11 @@
     def update_members(
         self, members: Mapping[Member, int], earlier_run_known: bool, spare_capacity: Mapping[str, float]
     ) -> None:
-        """Membership has changed, or what is known of the members' room; `members` with incarnations."""
+        """Takes a changed membership, or changed spare capacities.
+
+        `members` maps each living member to its incarnation; `earlier_run_known`: others remember an earlier
+        run of this router's name; `spare_capacity`: by member id.
+        """
         self.alive = {x.member_id: x for x in members}
         self.runs = {x.name: (x.run, incarnation) for x, incarnation in members.items()}
         self.earlier_run_known, self.spare_capacity = earlier_run_known, spare_capacity
@@ -170,14 +188,14 @@
                 record.holders.discard(member_id)
 
     def on_durable(self, now: float, number: int, mark: Mark) -> list[Action]:
-        """The rows up to that number are on the disk."""
+        """Releases what waited for the rows up to that number, which are on the disk now."""
         if self.persistence is not None:
             for member_id, item, deferrable in self.persistence.on_durable(number, mark):
                 self._queue_item(member_id, item, deferrable)
         return self._take_actions(now)
 
     def on_store_failure(self, now: float, reason: str) -> list[Action]:
-        """The store has: what was not safe is never said, and nothing is kept here any more."""
+        """Stops holding replicas after a failure of the store; messages that waited for it are never sent."""
         if self.persistence is not None and self.persistence.state is not StoreState.OUT:
             self.persistence.fail(reason)
             self.replica_sets.vote_suspended = True
@@ -186,6 +204,7 @@
         return self._take_actions(now)
 
     def tick(self, now: float) -> list[Action]:
+        """Does what is due: leases, replica sets, retries, take-overs.  To be called every `TICK_MS`."""
         self.replica.expire(now)
         self._check_store(now)
         self._send_now = bool(self._outbox)
@@ -219,9 +238,10 @@
         owned_deadline_ms: float,
         deferrable: bool = False,
     ) -> list[Action]:
-        """A viewer came for it; `soon`: he does not wait for it to be kept.
+        """A viewer asks for the record; `deferrable`: the viewer does not wait for its replication.
 
-        `Answer` follows by `soon_ms`, by `until_ms` where another has it, at once where it is here already.
+        An `Answer` to call `number` follows: at once where this router owns the record, by
+        `owned_deadline_ms` where another router owns it, otherwise by `deadline_ms`.
         """
         record = self.owned.get(id)
         attempt = self.acquisitions.get(id)
@@ -259,7 +279,10 @@
     def find(
         self, now: float, number: int, id: str, deadline_ms: float, owned_deadline_ms: float
     ) -> list[Action]:
-        """A viewer came for a session that stands, if it does; nothing is claimed where it does not."""
+        """Acquires an established session for a viewer; claims nothing where there is none.
+
+        Answers as `claim` does.
+        """
         attempt = self.acquisitions.get(id)
         if attempt is not None:
             attempt.join(number, deadline_ms, owned_deadline_ms)
@@ -272,7 +295,7 @@
         return self._take_actions(now)
 
     def update(self, now: float, id: str, phase: Phase, body: bytes) -> list[Action]:
-        """What this router owns has changed; nothing where it does not own it any more."""
+        """Writes a changed record that this router owns; does nothing where it does not own it any more."""
         record = self.owned.get(id)
         if record is not None and not record.hand_over_to and register.active_owner(record.work):
             work = msgspec.structs.replace(record.work, phase=phase, body=body)
@@ -283,7 +306,7 @@
         return self._take_actions(now)
 
     def leave(self, now: float) -> list[Action]:
-        """A planned end: all sessions go to the others, each to one drawn by its room."""
+        """Begins a planned shutdown: hands each session to a router drawn in proportion to spare capacity."""
         self.leaving = True
         self._request_leases(now, at_once=True)
         for id in list(self.owned):
@@ -304,7 +327,7 @@
         self._write_record(now, record, register.with_next_owner(record.work, to))
 
     def receive(self, now: float, member: Member, data: bytes) -> list[Action]:
-        """Raises Bad where it can't be read."""
+        """Handles a message from another router.  Raises MessageError where it cannot be decoded."""
         message = wire.decode(data)
         member_id = member.member_id
         peer = self.peers.get(member_id)
@@ -328,7 +351,7 @@
     # Messages
 
     def _send_item(self, member_id: str, item: wire.Items, deferrable: bool = False) -> None:
-        """`soon`: nobody waits for it, so that it may travel with others."""
+        """`deferrable`: nobody waits for the message, so that it may be batched with later ones."""
         if self.persistence is None or not self.persistence.hold_back(
             member_id, item, deferrable, self.replica_sets.vote_state
         ):
@@ -343,10 +366,11 @@
 
     @property
     def has_outgoing(self) -> bool:
-        """Whether something is to be sent by `flush` soon."""
+        """Whether messages wait for the next `flush`."""
         return bool(self._outbox)
 
     def flush(self, now: float) -> list[Action]:
+        """Sends all messages that wait."""
         self._send_now = True
         return self._take_actions(now)
 
@@ -440,15 +464,15 @@
             case wire.OwnedRecordsPage():
                 self._on_owned_records_page(now, member_id, item)
             case wire.HandOverAck():
-                gift = self._pending_hand_overs.get(item.id)
-                if gift is not None and gift[0] == member_id and gift[1].ballot == item.ballot:
+                pending = self._pending_hand_overs.get(item.id)
+                if pending is not None and pending[0] == member_id and pending[1].ballot == item.ballot:
                     del self._pending_hand_overs[item.id]
 
     def _reply(self, member_id: str, item: wire.Items | None) -> None:
         if item is not None:
             self._send_item(member_id, item)
 
-    # What was brought from before the start
+    # State restored from the store
 
     def _check_store(self, now: float) -> None:
         claim = None if self.persistence is None else self.persistence.due_claim(now)
@@ -461,38 +485,40 @@
         if judge.word is not JudgeWord.WAITING:
             self._conclude_store_check(now, judge.word)
 
-    def _on_store_claim_answer(self, now: float, name: str, told: wire.StoreClaimAnswer) -> None:
+    def _on_store_claim_answer(self, now: float, name: str, answer: wire.StoreClaimAnswer) -> None:
         if self.persistence is None:
             return
-        verdict = self.persistence.on_claim_answer(name, told)
+        verdict = self.persistence.on_claim_answer(name, answer)
         if verdict is not JudgeWord.WAITING:
             self._conclude_store_check(now, verdict, name)
 
     def _conclude_store_check(self, now: float, verdict: JudgeWord, by: str = "") -> None:
-        """The store is all that was promised from it, or void."""
+        """Loads the restored state where the store proved to be whole, or discards it."""
         assert self.persistence is not None
         restored = self.persistence.conclude(verdict is JudgeWord.WHOLE)
         self.replica_sets.vote_suspended = False
         if restored is not None:
             self.replica.load(now, restored.slots)
-            self.persistence.changed_ids.clear()  # as they are on the disk
+            self.persistence.changed_ids.clear()  # they are on the disk already
             self.replica_sets.representatives = dict.fromkeys(self.persistence.runs, self.own)
             self.replica_sets.restore(now, restored.vote_state)
             self._restored_unconfirmed = True
             self._actions.append(
                 LogMessage(
-                    f"its store is whole: {len(restored.slots)} records, roster "
+                    f"its store is complete: {len(restored.slots)} records, roster "
                     f"{self.replica_sets.number}"
                 )
             )
         else:
-            self._actions.append(LogMessage(f"its store is behind what {by} has heard of it, and void"))
+            self._actions.append(
+                LogMessage(f"its store is older than what {by} has received from it, and is discarded")
+            )
         self._request_leases(now, at_once=True)
 
     # Leases
 
     def _request_leases(self, now: float, at_once: bool = False) -> None:
-        """To all who are in: those who keep nothing for this router learn that it takes part."""
+        """Sent to all living members: those that hold no replica for this router learn that it takes part."""
         for member_id in self.alive:
             peer = self.peers[member_id]
             if at_once or now - peer.requested_ms >= self.rules.lease_ms / RENEWALS_PER_LEASE:
@@ -558,10 +584,10 @@
         else:
             self._send_item(member_id, wire.LeaseNotGranted(request.seq))
 
-    def _confirm_request(self, member_id: str, of: int) -> float | None:
-        """When the question was sent; both directions worked since."""
+    def _confirm_request(self, member_id: str, seq: int) -> float | None:
+        """When the answered request was sent, if it still counts; both directions have worked since then."""
         peer = self.peers[member_id]
-        sent = peer.pending_requests.pop(of, None)
+        sent = peer.pending_requests.pop(seq, None)
         if sent is not None:
             peer.confirmed_ms = max(peer.confirmed_ms, sent)
         return sent
@@ -585,7 +611,7 @@
         )
 
     def _on_owned_records_page(self, now: float, member_id: str, page: wire.OwnedRecordsPage) -> None:
-        """Kept as this router's, which may not know of it: a hand-over's word was lost."""
+        """Replicas name this router as the owner, which may not know of it where a hand-over was lost."""
         peer = self.peers[member_id]
         peer.listed_up_to = "" if page.last or not page.ids else page.ids[-1]
         if not page.last:
@@ -606,7 +632,7 @@
                 )
 
     def _on_lease_lapsed(self, now: float, member_id: str, lapsed: wire.LeaseLapsed) -> None:
-        """Another may have come to that keeper in between: all that it holds is written to it again."""
+        """Another router may have reached that replica meanwhile: all its records are written to it again."""
         peer = self.peers[member_id]
         if self._confirm_request(member_id, lapsed.seq) is None or lapsed.generation <= peer.generation:
             return
@@ -619,7 +645,7 @@
                 record.sent_ms, record.resend_after_ms = -1e12, RESEND_MS
         self._request_lease(now, peer)
 
-    # Rosters
+    # Replica sets
 
     def _takes_part(self, member_id: str, now: float) -> bool:
         peer = self.peers.get(member_id)
@@ -674,7 +700,9 @@
             self._actions.append(LogMessage(f"votes in roster {self.replica_sets.number}"))
         if self.replica_sets.stuck_reason != self._reported_stuck:
             self._reported_stuck = self.replica_sets.stuck_reason
-            self._actions.append(LogMessage(self._reported_stuck or "enough routers are here to keep work"))
+            self._actions.append(
+                LogMessage(self._reported_stuck or "enough routers are present to replicate work")
+            )
         if self._settled:
             self.replica_sets.settled = True
         if not self._purged and self._settled:
@@ -684,7 +712,7 @@
 
     @property
     def _vote_counts(self) -> bool:
-        """Whether others may count on this one's votes: what it was told for them is safe."""
+        """Whether others may count on this router's votes: the state that it received for them is durable."""
         return (
             self.replica_sets.active
             and self._votes_in_set == self._set_id
@@ -697,7 +725,7 @@
 
     @property
     def _settled(self) -> bool:
-        """All members of the roster are known to vote in it."""
+        """Whether all members of the replica set are known to vote in it."""
         replica_set = self.replica_sets.current
         return (
             self.replica_sets.settled
@@ -727,15 +755,17 @@
             )
             and self.peers[member_id].votes
         ):
-            # Its own majority is gone for good, and others have begun anew: it joins them.
-            self._actions.append(LogMessage("joins routers that began anew: what this one kept is void"))
+            # The majority of its own replica set is gone for good, and others founded a new one: joins them.
+            self._actions.append(
+                LogMessage("joins routers that founded a new replica set: its own replicas are discarded")
+            )
             self.replica.forget_all()
             self._enter_replica_set(now, replica_set)
             for record in self.owned.values():
                 self._reacquire(now, record)
 
     def _majority_in_lineage(self, now: float) -> bool:
-        """Whether most members of this one's roster are of its lineage still."""
+        """Whether most members of this router's replica set are still of its lineage."""
         replica_set = self.replica_sets.current
         return replica_set is not None and 2 * sum(
             x.member_id == self.own_id
@@ -748,7 +778,7 @@
         self.replica_sets.enter(now, replica_set)
         self.replica.enter_replica_set(replica_set.number)
         if self._restored_unconfirmed and not self.replica_sets.is_source:
-            # The others have gone on without it: what they have let lapse since must not come back.
+            # The others went on without this router: records that expired there since must not come back.
             self.replica.forget_all()
         self._restored_unconfirmed = False
         self._unacknowledged_parts.clear()
@@ -775,10 +805,11 @@
                 placement.may_be_lost(record.id, record.ballot[0], x, self.rules.tolerated_losses + 1)
                 for x in replica_set.holes
             ):
-                self._reacquire(
-                    now, record
-                )  # more may have been written of it: under a new term, or not at all
-        for member in replica_set.members:  # whoever decided it tells it to all
+                # Newer writes may have been lost: it is owned under a new term, or not at all.
+                self._reacquire(now, record)
+        for (
+            member
+        ) in replica_set.members:  # whoever enters it announces it, first the one that completed the vote
             if member.member_id != self.own_id:
                 self._send_item(member.member_id, wire.ReplicaSetAnnouncement(replica_set))
         for peer in self.peers.values():
@@ -786,7 +817,7 @@
                 self._request_lease(now, peer)
 
     def _send_transfer(self, now: float, replica_set: ReplicaSet) -> None:
-        """All that this one holds, to those who keep it from now on."""
+        """Sends the replicas held here to the members that hold them from now on."""
         ids_by_member: dict[str, list[str]] = {x.member_id: [] for x in replica_set.members}
         for id in self.replica.slots:
             for member_id in self.replicas_of(id):
@@ -800,16 +831,16 @@
             parts = list(
                 wire.batches(self.replica.export_slots(ids), wire.size, wire.MAX_TRANSFER_BYTES)
             ) or [[]]
-            for at, slots in enumerate(parts):
-                tell = wire.TransferPart(replica_set.number, at, len(parts), slots, leases)
-                self._unacknowledged_parts[member_id, at] = tell, now
-                self._send_item(member_id, tell)
+            for part, slots in enumerate(parts):
+                transfer = wire.TransferPart(replica_set.number, part, len(parts), slots, leases)
+                self._unacknowledged_parts[member_id, part] = transfer, now
+                self._send_item(member_id, transfer)
 
     def _on_transfer_part(
         self, now: float, member_id: str, transfer: wire.TransferPart, set_id: tuple[int, int]
     ) -> None:
         if set_id[0] != self.replica_sets.lineage or transfer.number > self.replica_sets.number:
-            return  # it is told again until this one knows that roster
+            return  # the part is sent again until this router knows that replica set
         self._send_item(member_id, wire.TransferAck(transfer.number, transfer.part))
         if transfer.number < self.replica_sets.number or self.replica_sets.active:
             return
@@ -821,11 +852,13 @@
             if self.replica_sets.active:
                 self._request_leases(now, at_once=True)
 
-    # Keeping
+    # Replicating
 
     def _majority_reachable(self, now: float) -> bool:
-        """Whether most of the roster have answered of late: the others may go on without those to whom they
-        have not, and answer for what those keep.  A cut is followed by a roster only later than this.
+        """Whether most members of the replica set have answered lately.
+
+        Otherwise the others may form the next replica set without this router, and answer for the records
+        that it replicates.  After a network partition they do so only later than this turns false.
         """
         replica_set = self.replica_sets.current
         if replica_set is None:
@@ -883,15 +916,13 @@
 
     def _write_record(self, now: float, record: OwnedRecord, work: Work) -> None:
         record.work = work
-        if (
-            record.id not in self.acquisitions
-        ):  # otherwise once it is known that this router has the record still
+        if record.id not in self.acquisitions:  # else written once a new term confirms the ownership
             record.ballot, record.written = (*record.ballot[:2], record.ballot[2] + 1), set()
             record.resend_after_ms = RESEND_MS
             self._send_to_replicas(now, record)
 
     def _reacquire(self, now: float, record: OwnedRecord, seen: Ballot = NO_BALLOT) -> None:
-        """Asks for a new term, or learns that another has the record."""
+        """Acquires a new term for an owned record, or finds that another router owns it."""
         if record.id not in self.acquisitions:
             seen = max(seen, record.ballot)
             self._start(
@@ -913,7 +944,7 @@
             if record is None or len(record.written) == len(record.replicas) and record.replicas:
                 del self._under_replicated[id]
                 continue
-            del self._under_replicated[id]  # behind the others
+            del self._under_replicated[id]  # to the end of the queue
             self._under_replicated[id] = None
             reachable = any(x in self.alive for x in record.replicas if x not in record.written)
             if reachable and id not in self.acquisitions and now - record.sent_ms >= record.resend_after_ms:
@@ -921,7 +952,7 @@
                 self._send_to_replicas(now, record)
 
     def _on_chosen(self, now: float, record: OwnedRecord) -> None:
-        """A majority holds what was written last."""
+        """A majority of replicas holds what was written last."""
         if record.chosen == record.ballot:
             return
         record.chosen = record.ballot
@@ -954,10 +985,10 @@
             self._replica_counts.subtract(record.replicas)
         self._under_replicated.pop(id, None)
 
-    def _lose_ownership(self, id: str, to: str, over: bool = False) -> None:
+    def _lose_ownership(self, id: str, to: str, final: bool = False) -> None:
         self.counters.fenced += 1
         self._remove_owned(id)
-        self._actions.append(OwnershipLost(id, to, over))
+        self._actions.append(OwnershipLost(id, to, final))
 
     def _on_hand_over_request(self, now: float, member_id: str, id: str) -> None:
         record, pending = self.owned.get(id), self._pending_hand_overs.get(id)
@@ -979,7 +1010,7 @@
             hand_over.id in self._pending_hand_overs
             and self._pending_hand_overs[hand_over.id][1].ballot >= hand_over.ballot
         ):
-            return  # it has been here, and was handed on
+            return  # it was owned here, and has been handed over since
         self.counters.received += 1
         self._add_owned(
             OwnedRecord(
@@ -1007,7 +1038,7 @@
             else:
                 attempt.stage, attempt.next_ms = Stage.WAIT, now + HAND_OVER_RETRY_MS
 
-    # Trying
+    # Acquiring
 
     def _start(self, now: float, attempt: Acquisition) -> None:
         self.acquisitions[attempt.id] = attempt
@@ -1039,13 +1070,12 @@
                 else:
                     attempt.stage = Stage.WAIT
         elif attempt.written and self._wins(now, attempt):
-            self._on_won(now, attempt)  # a lease has come since
+            self._on_won(now, attempt)  # a lease was granted since the writes
         elif attempt.stage is Stage.CLAIM and now - attempt.sent_ms >= RESEND_MS:
-            self._begin_round(
-                now, attempt
-            )  # one of them does not answer: most are enough, with a question first
+            # A replica does not answer: with a prepare round first, a majority is enough.
+            self._begin_round(now, attempt)
         elif now - attempt.sent_ms >= attempt.resend_after_ms and attempt.refusals:
-            self._back_off(now, attempt)  # the others may be away: what was refused is asked again
+            self._back_off(now, attempt)  # the others may be unreachable: asks again those that refused
         elif now - attempt.sent_ms >= attempt.resend_after_ms:
             attempt.resend_after_ms = min(2.0 * attempt.resend_after_ms, 4.0 * RESEND_MS)
             attempt.written = {
@@ -1056,13 +1086,13 @@
             self._send_round(now, attempt)
 
     def _begin_round(self, now: float, attempt: Acquisition) -> None:
-        """A new ballot, over those who keep it now."""
+        """Begins a new ballot over the record's present replicas."""
         if attempt.stage is Stage.CLAIM:
             self._withdraw_claim(attempt)
         attempt.replicas = self.replicas_of(attempt.id)
         if not attempt.replicas:
-            return  # there is no roster yet
-        # All keepers have to take a claim: where one is away it is asked for at once.
+            return  # there is no replica set yet
+        # A claim needs all replicas: where one is unreachable, begins with a prepare round at once.
         attempt.may_claim = attempt.may_claim and all(self._takes_part(x, now) for x in attempt.replicas)
         if attempt.may_claim:
             attempt.ballot = register.CLAIM_COUNTER, self.own_id, 0
@@ -1070,9 +1100,8 @@
             attempt.ballot = next_ballot(
                 max(attempt.highest_seen, self._last_ballot), self.replica_sets.number, self.own_id
             )
-            attempt.highest_seen = self._last_ballot = (
-                attempt.ballot
-            )  # no term of this run's is ever used twice
+            # This run never uses a term twice.
+            attempt.highest_seen = self._last_ballot = attempt.ballot
         attempt.promises, attempt.refusals, attempt.written = {}, {}, {}
         attempt.stage = Stage.CLAIM if attempt.may_claim else Stage.PREPARE
         attempt.work = attempt.proposed if attempt.may_claim else None
@@ -1081,19 +1110,19 @@
         self._send_round(now, attempt)
 
     def _withdraw_claim(self, attempt: Acquisition) -> None:
-        """A keeper that took it alone would deny others for as long as this router lives."""
+        """Withdraws a claim: a replica that alone accepted it would deny others while this router lives."""
         for member_id in attempt.replicas:
             self._send_item(member_id, wire.Withdraw(attempt.id, attempt.ballot))
 
     def _send_round(self, now: float, attempt: Acquisition) -> None:
         attempt.sent_ms = now
-        ask: wire.Items
+        message: wire.Items
         if attempt.stage is Stage.PREPARE:
-            ask = wire.Prepare(attempt.id, attempt.ballot)
+            message = wire.Prepare(attempt.id, attempt.ballot)
             answered = attempt.promises.keys() | attempt.refusals.keys()
         else:
             assert attempt.work is not None
-            ask = wire.Write(
+            message = wire.Write(
                 attempt.id,
                 attempt.ballot,
                 attempt.work,
@@ -1103,7 +1132,7 @@
             answered = attempt.written.keys() | attempt.refusals.keys()
         for member_id in attempt.replicas:
             if member_id not in answered:
-                self._send_item(member_id, ask, attempt.deferrable and attempt.stage is not Stage.PREPARE)
+                self._send_item(member_id, message, attempt.deferrable and attempt.stage is not Stage.PREPARE)
 
     def _on_promised(self, now: float, member_id: str, promised: wire.Promised) -> None:
         attempt = self.acquisitions.get(promised.id)
@@ -1144,7 +1173,7 @@
                 self._actions.append(Answer(number, Verdict.FINAL, found))
             return
         elif hole and attempt.proposed.paid and (found is None or found.phase is Phase.INTENT):
-            self.counters.unknown += 1  # more may have been known of it than is known now
+            self.counters.unknown += 1  # a later value of the record may have been lost
             work = (
                 msgspec.structs.replace(attempt.proposed, phase=Phase.FAILED, epoch=UNKNOWN_EPOCH)
                 if found is None
@@ -1160,11 +1189,11 @@
             and not attempt.wrote_prepared
             and attempt.id not in self._unused
         ):
-            # Lost and come back: it may have left before.
+            # Lost and found again: the set-up may have been sent before.
             work = msgspec.structs.replace(found, phase=Phase.DOOMED)
         else:
             work = register.value_after_takeover(found, self.own_id, attempt.proposed)
-            # Not acted on before it is won, whatever comes between: found again it is no failure.
+            # Nothing is sent before this write wins: found again by this attempt, the record is no failure.
             attempt.wrote_prepared = (
                 attempt.wrote_prepared or work.owner == self.own_id and work.phase is Phase.INTENT
             )
@@ -1173,7 +1202,7 @@
         self._send_round(now, attempt)
 
     def _wins(self, now: float, attempt: Acquisition) -> bool:
-        """Enough keepers have taken it; where it is to be acted on, their leases run as well."""
+        """Whether enough replicas accepted the write, with leases of a majority where it is acted on."""
         count = len(attempt.replicas)
         needed = register.majority(count)
         if len(attempt.written) < (count if attempt.stage is Stage.CLAIM else needed):
@@ -1188,7 +1217,7 @@
         return len(leased) >= needed
 
     def _still_owned(self, record: OwnedRecord, found: Work | None) -> bool:
-        """Whether what keepers have is this owner's, or what it was before; handed on, just what it wrote."""
+        """Whether the replicas' value is this owner's, or older; for a hand-over, exactly what it wrote."""
         if found is None or found.epoch < record.work.epoch:
             return True
         return (
@@ -1228,37 +1257,37 @@
         if attempt.reason == "keep":
             previous = self.owned.get(attempt.id)
             if previous is None:
-                return  # an earlier write of this router's was chosen meanwhile, and ended it
+                return  # an earlier write of this router, which ended the record, was chosen meanwhile
             latest = previous.work
             self._take_ownership(now, attempt)
             record = self.owned[attempt.id]
-            if latest != work:  # it has changed meanwhile
+            if latest != work:  # the record changed meanwhile
                 self._write_record(now, record, latest)
             else:
-                record.chosen = NO_BALLOT  # so that what waited for this is told now
+                record.chosen = NO_BALLOT  # so that `_on_chosen` reports it
                 self._on_chosen(now, record)
             return
-        mine = register.active_owner(work) == self.own_id
+        is_owner = register.active_owner(work) == self.own_id
         self._unused.pop(attempt.id, None)
-        if mine:
+        if is_owner:
             self._take_ownership(now, attempt)
-        again = found is not None and mine and found.owner == self.own_id and bool(found.past_owners)
-        if found is not None and (found != work and found.owner != self.own_id or again):
-            self.counters.taken_over += 1  # (again: taken before, and its keepers' answers came too late)
+        retaken = found is not None and is_owner and found.owner == self.own_id and bool(found.past_owners)
+        if found is not None and (found != work and found.owner != self.own_id or retaken):
+            self.counters.taken_over += 1  # `retaken`: taken over before, but the replicas answered too late
         elif found is None:
             self.counters.claimed += 1
-        if found is not None and (found != work or mine):
+        if found is not None and (found != work or is_owner):
             self._actions.append(Acquired(attempt.id, work, found))
         verdict = (
             Verdict.FINAL
-            if not mine or work.phase is Phase.DOOMED
+            if not is_owner or work.phase is Phase.DOOMED
             else Verdict.TAKEN_OVER
             if work.phase is Phase.STANDS
             else Verdict.NEW
         )
         for number in attempt.callers:
             self._actions.append(Answer(number, verdict, work))
-        if mine and work.phase is Phase.DOOMED:
+        if is_owner and work.phase is Phase.DOOMED:
             self._write_record(now, self.owned[attempt.id], msgspec.structs.replace(work, phase=Phase.FAILED))
 
     def _on_refused(self, now: float, member_id: str, refused: wire.Refused) -> None:
@@ -1269,7 +1298,7 @@
                 and refused.ballot == record.ballot
                 and refused.reason is RefusalReason.BALLOT
             ):
-                # Another has come to that keeper: who has the record now?
+                # Another router's ballot reached that replica: finds out who owns the record.
                 self._reacquire(now, record, refused.promised)
             return
         if refused.ballot != attempt.ballot or attempt.stage not in (
@@ -1286,11 +1315,11 @@
         self._back_off(now, attempt)
 
     def _back_off(self, now: float, attempt: Acquisition) -> None:
-        """This ballot comes to nothing: another has a higher one, or its owner a lease."""
+        """Gives up this ballot, for a higher one or the owner's lease, and retries after a random delay."""
         refusals, claimed = list(attempt.refusals.values()), attempt.stage is Stage.CLAIM
         if claimed:
             self._withdraw_claim(attempt)
-        # Guards against two who undo each other's ballots for as long as keepers' disks are slow.
+        # Otherwise two routers void each other's ballots for as long as the replicas' disks are slow.
         pause = min(BACKOFF_MS * 2.0 ** min(attempt.yields, 16), MAX_BACKOFF_MS)
         attempt.stage, attempt.next_ms = Stage.WAIT, now + self.random.uniform(0.2, 1.0) * pause
         attempt.yields += 1
@@ -1306,9 +1335,9 @@
             else:
                 attempt.next_ms = now + max(min(x.lease_left_ms for x in leases), 1.0)
         elif claimed and all(x.reason is not RefusalReason.REPLICA_SET for x in refusals):
-            self._begin_round(now, attempt)  # it is not new: ask what it is
+            self._begin_round(now, attempt)  # the record is not new: a prepare round finds its value
 
-    # Records whose owner is gone
+    # Ownerless records
 
     def _scan_ownerless(self, now: float) -> None:
         if now - self._scanned_ms >= OWNERLESS_SCAN_MS and self.replica_sets.active and not self.leaving:
@@ -1345,12 +1374,12 @@
         if self.own_id not in present:
             return
         is_first = placement.choose_successor(id, present, self.spare_capacity) == self.own_id
-        due = max(now, self.replica.lease_ends_ms.get(owner, now)) + (
+        due_ms = max(now, self.replica.lease_ends_ms.get(owner, now)) + (
             0.0 if is_first else BACKUP_TAKEOVER_DELAY_MS
         )
         self._queued.add(id)
-        self._ownerless[due, id] = None
+        self._ownerless[due_ms, id] = None
 
     def _unqueue(self, id: str) -> None:
-        """Whoever comes for it goes first; what is left in the queue finds nothing to do."""
+        """A viewer's request comes before the take-over; the entry left in the queue finds nothing to do."""
         self._queued.discard(id)
--- a/cloverhinge/ownership/persistence.py
+++ b/cloverhinge/ownership/persistence.py
@@ -1,6 +1,6 @@
-"""What a keeper writes down before it says it, and what it brings back from before its start.  Pure.
+"""Durability of a replica: state is stored before messages reveal it, and restored after a restart.  Pure.
 
-The store knows rows; here is what they mean.  See docs/design/store.md for what is promised.
+The store knows rows; this module knows what they mean.  See docs/design/store.md for the guarantees.
 """
 
 from __future__ import annotations
@@ -21,18 +21,14 @@
 if TYPE_CHECKING:
     from cloverhinge.ownership.replica import Replica
 
-REPLICA_SET_KEY, RUNS_KEY, SLOT_PREFIX, MARK_PREFIX = (
-    "roster",
-    "lives",
-    "s/",
-    "h/",
-)  # rows' keys: the one, and with a name behind
+# Keys of two single rows, and key prefixes of slots (by record id) and of others' marks (by router name).
+REPLICA_SET_KEY, RUNS_KEY, SLOT_PREFIX, MARK_PREFIX = "roster", "lives", "s/", "h/"
 CLAIM_INTERVAL_MS = 100.0  # between claims to members that have not answered
-MARK_INTERVAL_MS = 500.0  # pace at which others' marks are written: the pace at which they are heard
-MAX_HELD_BACK = 65_536  # words that wait for the disk; more are dropped
-MAX_RUNS = 16  # runs that wrote the folder, the latest; an older one is in no roster that still counts
+MARK_INTERVAL_MS = 500.0  # interval of writing others' marks: that at which they are received
+MAX_HELD_BACK = 65_536  # messages that wait for the disk; more are dropped
+MAX_RUNS = 16  # the latest runs that wrote the folder; older ones are in no replica set that still counts
 
-# What may be said only once it is on the disk: each of them rests on rows that changed with it.
+# Messages that may be sent only once the rows that changed with them are on the disk.
 BINDING = (
     wire.Promised,
     wire.Written,
@@ -44,16 +40,16 @@
 
 
 class StoreState(IntEnum):
-    """What a router says of its store, to those who count votes."""
+    """What a router announces of its store, to those who count votes."""
 
-    FORGOT = 0  # it has none, or one that is not believed
-    JUDGING = 1  # whether it is whole is not known yet
-    WHOLE = 2  # it speaks for the run that its folder was written by
-    OUT = 3  # it keeps nothing for others
+    FORGOT = 0  # it has none, or one whose contents are not trusted
+    JUDGING = 1  # whether it is complete is not known yet
+    WHOLE = 2  # it is complete: the router represents the runs that wrote it
+    OUT = 3  # it cannot be used: the router holds no replicas
 
 
 class VoteState(msgspec.Struct, array_like=True, frozen=True):
-    """Of the roster, and of its next one's election."""
+    """The replica set, and the state of the vote on the next one."""
 
     replica_set: ReplicaSet | None
     promised: Ballot = NO_BALLOT
@@ -63,6 +59,8 @@
 
 
 class SlotRow(msgspec.Struct, array_like=True, frozen=True):
+    """A slot as it is stored."""
+
     promised: Ballot
     accepted: Ballot
     work: Work | None
@@ -73,7 +71,7 @@
 
 @dataclass(slots=True)
 class RestoredState:
-    """From a folder, before it is known whether it is whole."""
+    """The contents of a folder, of which it is not known yet whether they are complete."""
 
     vote_state: VoteState
     runs: tuple[str, ...]
@@ -82,7 +80,7 @@
 
 
 def decode_rows(rows: Mapping[str, bytes]) -> RestoredState:
-    """Raises ValueError: rows that this version does not know, though the store holds them whole."""
+    """Raises ValueError for rows that this version does not know, though the store holds them undamaged."""
     try:
         return _decode_rows(rows)
     except msgspec.MsgspecError as error:
@@ -102,42 +100,40 @@
         elif key.startswith(MARK_PREFIX):
             marks[key.removeprefix(MARK_PREFIX)] = msgspec.msgpack.decode(value, type=Mark)
         else:
-            raise ValueError(f"nothing is called {key[:40]}")
+            raise ValueError(f"unknown row key {key[:40]}")
     return RestoredState(vote_state, runs, slots, marks)
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Put these rows; `durable` is to be told once they, and all before them, are on the disk."""
+    """Store these rows; `on_durable` is to be called once they, and all before them, are on the disk."""
 
     number: int
-    rows: dict[str, bytes | None]
-    void: bool = False  # nothing that was there is believed
-    above: Mark = NO_MARK  # the store's marks are to be above this one
+    rows: dict[str, bytes | None]  # None: remove the row
+    void: bool = False  # earlier contents are discarded
+    above: Mark = NO_MARK  # the store's marks have to be above this one
 
 
 @dataclass(slots=True)
 class ReplicaPersistence:
-    """One keeper's side of its store.  `why`: it has none that can be used."""
+    """The replica's view of its store, which is opened and written elsewhere."""
 
     own: Member
     mark: Mark = NO_MARK  # of the last commit
     state: StoreState = StoreState.FORGOT
-    unusable_reason: str = ""
-    runs: tuple[str, ...] = ()  # the runs that it speaks for, itself the last one
-    restored: RestoredState | None = None  # until it is judged
+    unusable_reason: str = ""  # why there is no usable store, if there is none
+    runs: tuple[str, ...] = ()  # member ids of the runs that this one represents, itself the last one
+    restored: RestoredState | None = None  # until the store has proved complete, or not
     judge: Judge | None = None
     witness: Witness = field(default_factory=Witness)
-    changed_ids: dict[str, None] = field(
-        default_factory=dict
-    )  # records whose slots changed since the last rows
-    last_number: int = 0  # number of the last rows
-    durable_number: int = 0  # and of the last that are on the disk
-    vote_state: VoteState = field(default_factory=lambda: VoteState(None))  # as written last
+    changed_ids: dict[str, None] = field(default_factory=dict)  # of slots changed since the last rows
+    last_number: int = 0  # of the last rows
+    durable_number: int = 0  # of the last rows that are on the disk
+    vote_state: VoteState = field(default_factory=lambda: VoteState(None))  # as last written
     _held_back: deque[tuple[int, str, wire.Items, bool]] = field(default_factory=deque)
     _void: bool = False
     _above: Mark = NO_MARK
-    _runs_number: int = 0  # number of the rows that hold this run among the lives
+    _runs_number: int = 0  # number of the rows with this run in the list of runs
     _marks_written_ms: float = -1e12
     _claim_sent_ms: float = -1e12
 
@@ -145,12 +141,15 @@
     def from_folder(
         cls, own: Member, claim: Mark, mark: Mark, rows: Mapping[str, bytes]
     ) -> ReplicaPersistence:
-        """Of a folder as it was opened.  One whose roster does not name this router rests on nothing that
-        others count on.  Raises ValueError as `read` does."""
+        """For a folder as it was opened, with the mark that it claims to have reached.
+
+        Where its replica set names none of the runs that wrote it, nobody counts on its records, and they are
+        discarded.  Raises ValueError as `decode_rows` does.
+        """
         made = cls(own, mark, runs=(own.member_id,))
         restored = decode_rows(rows)
-        for name, heard in restored.marks.items():
-            made.witness.heard[name] = heard
+        for name, latest in restored.marks.items():
+            made.witness.heard[name] = latest
         replica_set = restored.vote_state.replica_set
         if (
             claim != NO_MARK
@@ -160,7 +159,7 @@
             made.restored, made.state = restored, StoreState.JUDGING
             made.judge = Judge(own.name, claim, (x.name for x in replica_set.members))
         elif claim != NO_MARK:
-            made._discard_earlier()  # the records of another life, which nobody counts on
+            made._discard_earlier()  # records of earlier runs, which nobody counts on
         return made
 
     def _discard_earlier(self) -> None:
@@ -169,33 +168,37 @@
 
     @classmethod
     def unusable(cls, own: Member, reason: str) -> ReplicaPersistence:
+        """For a folder that cannot be used: this router holds no replicas."""
         return cls(own, state=StoreState.OUT, unusable_reason=reason)
 
     @property
     def outgoing_mark(self) -> Mark:
-        """With each message; while it is judged others are not to take its new marks for its old ones."""
+        """Sent with each message; none during the check: others would take new marks for old ones."""
         return NO_MARK if self.state in (StoreState.JUDGING, StoreState.OUT) else self.mark
 
     @property
     def announced_state(self) -> StoreState:
-        """To others, who may make a roster of it: not before its folder would know this run again."""
+        """Sent to others, who may form a replica set with this run: not before the folder lists this run."""
         waits = self.state is StoreState.WHOLE and not 0 < self._runs_number <= self.durable_number
         return StoreState.JUDGING if waits else self.state
 
     @property
     def usable(self) -> bool:
+        """Whether this router may hold replicas and vote."""
         return self.state in (StoreState.FORGOT, StoreState.WHOLE)
 
-    # What waits for the disk
+    # Messages that wait for the disk
 
     def barrier(self, vote_state: VoteState) -> int:
-        """What is said now rests on rows up to this number."""
+        """The number of the rows that a message sent now depends on."""
         waiting = self.changed_ids or self._void or not self._runs_number or vote_state != self.vote_state
         return self.last_number + 1 if waiting else self.last_number
 
     def hold_back(self, member_id: str, item: wire.Items, deferrable: bool, vote_state: VoteState) -> bool:
-        """Whether this has to wait; it is given back by `durable`.  What a router that is out should bind
-        itself to is dropped."""
+        """Whether the message has to wait; `on_durable` returns it later.
+
+        Without a working store a binding message is dropped.
+        """
         if not isinstance(item, BINDING):
             return False
         if self.state is StoreState.OUT:
@@ -203,12 +206,12 @@
         barrier = self.barrier(vote_state)
         if barrier <= self.durable_number:
             return False
-        if len(self._held_back) < MAX_HELD_BACK:  # else it is asked for again
+        if len(self._held_back) < MAX_HELD_BACK:  # otherwise the sender repeats its request
             self._held_back.append((barrier, member_id, item, deferrable))
         return True
 
     def take_rows(self, now: float, replica: Replica, vote_state: VoteState) -> Persist | None:
-        """What has changed since the last call."""
+        """The rows that have changed since the last call; None where nothing is to be stored."""
         if self.state in (StoreState.OUT, StoreState.JUDGING):
             return None
         rows: dict[str, bytes | None] = {}
@@ -240,7 +243,7 @@
         return Persist(self.last_number, rows, void, above)
 
     def on_durable(self, number: int, mark: Mark) -> list[tuple[str, wire.Items, bool]]:
-        """What may be said now, in order."""
+        """The messages that may be sent now, in order."""
         self.durable_number, self.mark = max(self.durable_number, number), max(self.mark, mark)
         released = []
         while self._held_back and self._held_back[0][0] <= self.durable_number:
@@ -248,29 +251,29 @@
         return released
 
     def fail(self, reason: str) -> None:
-        """From now on nothing is kept here; what waits is never said."""
+        """Takes the store out of use; messages that wait for it are never sent."""
         self.state, self.unusable_reason = StoreState.OUT, reason
         self._held_back.clear()
         self.restored = self.judge = None
 
-    # Judging
+    # Checking the store against what others have received from this router
 
     def due_claim(self, now: float) -> wire.StoreClaim | None:
-        """For all members that have not answered yet."""
+        """The claim to send to all members that have not answered yet, if one is due."""
         if self.judge is None or now - self._claim_sent_ms < CLAIM_INTERVAL_MS:
             return None
         self._claim_sent_ms = now
         return wire.StoreClaim(*self.judge.claim)
 
     def answer_claim(self, name: str, claim: wire.StoreClaim) -> wire.StoreClaimAnswer:
-        """Of what was heard of another's store."""
+        """Compares another router's claim with the latest mark received from it."""
         mark = Mark(claim.generation, claim.position)
         return wire.StoreClaimAnswer(
             *mark, self.witness.allows(name, mark), *self.witness.heard.get(name, NO_MARK)
         )
 
     def on_claim_answer(self, name: str, answer: wire.StoreClaimAnswer) -> Word:
-        """Another's word on this store; the verdict so far."""
+        """Takes another router's answer on this store; returns the verdict so far."""
         if self.judge is None:
             self._above = max(self._above, Mark(answer.heard_generation, answer.heard_position))
             return Word.WAITING
@@ -280,7 +283,7 @@
         return self.judge.word
 
     def conclude(self, whole: bool) -> RestoredState | None:
-        """What is to be believed of it, if anything."""
+        """Ends the check; returns the restored state where the store is whole, else None."""
         restored, self.restored, self.judge = self.restored, None, None
         if whole:
             self.state = StoreState.WHOLE
@@ -293,7 +296,7 @@
         return None
 
     def note_mark(self, name: str, mark: Mark) -> wire.StoreClaimAnswer | None:
-        """A mark that came with a message; an answer where that router has had later ones."""
+        """Takes a mark that came with a message; returns an answer where a later generation's is known."""
         if mark == NO_MARK:
             return None
         latest = self.witness.heard.get(name, NO_MARK)
--- a/cloverhinge/ownership/register.py
+++ b/cloverhinge/ownership/register.py
@@ -1,9 +1,9 @@
-"""One register a record: compare-and-set over a majority of its keepers, leases that fence the owner.  Pure.
+"""One register per record: compare-and-set over a majority of replicas, leases that fence the owner.  Pure.
 
-A record's keepers are acceptors of single-decree Paxos whose value may be replaced, as CASPaxos describes it
-(Rystsov 2018); the epoch counts the owners.  A keeper that has granted an owner a lease denies others the
-record until the lease is over by its own clock (Gray and Cheriton 1989).  Every step is a function of a
-frozen state, so that all orders of events can be explored (`tests/test_ownership_model.py`).
+A record's replicas are acceptors of single-decree Paxos whose value may be replaced, as in CASPaxos (Rystsov
+2018); the epoch counts the owners.  A replica that has granted an owner a lease denies others the record
+until the lease is over by its own clock (Gray and Cheriton 1989).  Every step is a function of a frozen
+state, so that all orders of events can be explored (`tests/test_ownership_model.py`).
 """
 
 from __future__ import annotations
@@ -15,25 +15,24 @@
 import msgspec
 from msgspec import Meta
 
-# A counter that only grows, who proposes, and how often it has written under the two: these are its *term*.
+# A counter that only grows, the proposer, and the number of its writes under these two, which are its *term*.
 Ballot = tuple[int, str, int]
 NO_BALLOT: Ballot = (0, "", 0)
-CLAIM_COUNTER = (
-    1  # the counter of claims without a question: below all others, so that one which a keeper took alone
-)
-# hides nothing that was written after a question
+# The counter of claims without a prepare round.  It is below all others, so that a claim which only one
+# replica accepted hides nothing that was written after a prepare round.
+CLAIM_COUNTER = 1
 MAX_PAST_OWNERS = 8  # earlier owners that a record names
-MAX_BODY_BYTES = 4096  # bytes of the fronts' own: an RTSP answer and what was asked
+MAX_BODY_BYTES = 4096  # of the front's own data: an RTSP answer and the set-up request
 
 
 class Phase(IntEnum):
-    """Of a piece of work; FAILED and OVER are answers that stay, the others have an owner who acts."""
+    """Of a piece of work; FAILED and OVER are final answers, the others have an owner that acts."""
 
-    INTENT = 0  # its set-up may be on its way
-    STANDS = 1
+    INTENT = 0  # prepared: its set-up may be under way
+    STANDS = 1  # the session is established
     FAILED = 2  # it may have run, and is never set up again
     OVER = 3
-    DOOMED = 4  # it has failed; what an earlier owner may have left at a box is still to be released
+    DOOMED = 4  # it has failed; what an earlier owner may have left at a media server is still to be released
 
 
 ACTIVE_PHASES = (Phase.INTENT, Phase.STANDS, Phase.DOOMED)
@@ -46,17 +45,15 @@
     epoch: Annotated[int, Meta(ge=0)]  # one more with each owner
     phase: Phase
     paid: bool
-    body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)] = (
-        b""  # class, title, box, rung, token and the like
-    )
-    past_owners: Annotated[
-        tuple[str, ...], Meta(max_length=MAX_PAST_OWNERS)
-    ] = ()  # owners before, the last one last
+    # Class, title, media server, rung, token and the like.
+    body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)] = b""
+    # Earlier owners, the latest one last.
+    past_owners: Annotated[tuple[str, ...], Meta(max_length=MAX_PAST_OWNERS)] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """What one keeper remembers of one record."""
+    """One replica's state of one record."""
 
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -68,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """No ballot below this one is taken any more; `work` is the newest value that was."""
+    """The replica accepts no ballot below this one any more; `work` is the newest value that it accepted."""
 
     ballot: Ballot
     accepted: Ballot
@@ -77,12 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
+    """The replica accepted the value of that ballot."""
+
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """A higher ballot was promised, or another's lease runs for `left_ms` more."""
+    """A higher ballot was promised, or the lease of `owner` runs for `lease_left_ms` more."""
 
     ballot: Ballot
     promised: Ballot
@@ -94,14 +93,14 @@
 
 
 def active_owner(work: Work | None) -> str:
-    """Who acts on the work; "" where nobody does."""
+    """The owner that acts on the work; "" where nobody does."""
     return work.owner if work is not None and work.phase in ACTIVE_PHASES else ""
 
 
 def prepare(slot: Slot, ballot: Ballot, proposer: str, lease_left_ms: float) -> tuple[Slot, Reply]:
-    """`lease_left_ms`: what is left here of the lease of the slot's owner.
+    """A replica's answer to a proposer's prepare request; `lease_left_ms`: of the lease of the slot's owner.
 
-    A ballot is its proposer's alone, so asked again with it the keeper says again what it has promised.
+    No two proposers share a ballot, so that a repeated request gets the same promise again.
     """
     owner = active_owner(slot.work)
     if owner and owner != proposer and lease_left_ms > 0.0:
@@ -112,12 +111,13 @@
 
 
 def accept(slot: Slot, ballot: Ballot, work: Work, is_claim: bool = False) -> tuple[Slot, Reply]:
-    """A ballot that was promised to another is void; one that was never asked about counts as promised.
+    """A replica's answer to a write: accepted unless a higher ballot was promised; implies the promise.
 
-    Whoever has a term, by the promises of a majority, writes on under it without asking: any other's ballot
-    that a majority promised since is of a later term, and so above all of its writes.  `new` writes a record
-    that is taken to be new without having asked at all.  Such a term counts only once all keepers have taken
-    it: with fewer, two of them may disagree on what a majority held (Lamport 2006, fast quorums).
+    A proposer that has a term, by the promises of a majority, goes on writing under it without preparing
+    again: any other's ballot that a majority promised since is of a later term, and so above all its writes.
+    `is_claim` writes a record that is taken to be new, without a prepare round.  Such a term counts only once
+    all replicas have accepted it: with fewer, two of them may disagree on what a majority held (Lamport 2006,
+    fast quorums).
     """
     if (
         ballot < slot.promised
@@ -132,34 +132,37 @@
 
 
 def fenced(slot: Slot, owner: str) -> bool:
-    """Whether the owner must not act on this slot's word: another has been promised it, or has it."""
+    """Whether this slot forbids the owner to act: another proposer has its promise, or owns the record."""
     return active_owner(slot.work) != owner or slot.promised != slot.accepted
 
 
 def majority(replicas: int) -> int:
+    """The smallest number of replicas that is more than half of them."""
     return replicas // 2 + 1
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """One router's try at one record: first it asks (a majority's promises), then it writes.
+    """One router's proposal for one record: a prepare round (a majority's promises), then a write.
 
-    Where a majority of promises holds no value the record is new; otherwise the value of the highest accepted
-    ballot is what it was, and may be replaced by one that follows from it.
+    Where a majority of promises holds no value the record is new; otherwise its value is that of the highest
+    accepted ballot, and may be replaced by one that follows from it.
     """
 
     ballot: Ballot
     replicas: int
     promises: tuple[tuple[int, Promise], ...] = ()
-    work: Work | None = None  # what it writes, once that is decided
+    work: Work | None = None  # the value that it writes, once that is decided
     written: frozenset[int] = frozenset()
 
     @property
     def prepared(self) -> bool:
+        """Whether a majority has promised."""
         return len(self.promises) >= majority(self.replicas)
 
     @property
     def chosen(self) -> bool:
+        """Whether a majority has accepted the value."""
         return self.work is not None and len(self.written) >= majority(self.replicas)
 
     @property
@@ -169,7 +172,7 @@
         return None if newest is None else newest.work
 
     def receive(self, replica: int, reply: Reply) -> Proposal:
-        """Replies to other ballots, and second ones, change nothing."""
+        """The proposal after a reply; replies to other ballots, and repeated ones, change nothing."""
         if reply.ballot != self.ballot:
             return self
         if isinstance(reply, Promise) and replica not in (x for x, _ in self.promises) and self.work is None:
@@ -180,11 +183,12 @@
         return self
 
     def with_value(self, work: Work) -> Proposal:
+        """The proposal in its second round, writing this value."""
         return replace(self, work=work, promises=())
 
 
 def with_next_owner(work: Work, owner: str, **changed: object) -> Work:
-    """The same work with its next owner."""
+    """The same work in the next epoch, under this owner, with the changed fields."""
     past_owners = (*work.past_owners, work.owner)[-MAX_PAST_OWNERS:]
     return msgspec.structs.replace(
         work, owner=owner, epoch=work.epoch + 1, past_owners=past_owners, **changed
@@ -192,10 +196,11 @@
 
 
 def value_after_takeover(found: Work | None, asker: str, intent: Work) -> Work:
-    """What a router that found `found`, with its owner's lease over, may make of the record.
+    """The value that router `asker` writes where it found `found` and the owner's lease is over.
 
-    A paid intent may have left: it is never sent again, and its answer will be a failure.  An answer
-    that stays is written as it is, so that a majority holds it; only work that may be repeated begins anew.
+    The set-up of a paid prepared record may have been sent: it is never sent again, and ends as a failure.  A
+    final answer is written as it is, so that a majority holds it; only repeatable work begins anew, as
+    `intent`.
     """
     if found is None:
         return intent
@@ -211,8 +216,8 @@
 
 
 def may_act(work: Work, own: str, written: frozenset[int], granted: frozenset[int], replicas: int) -> bool:
-    """Whether the owner may act now: a majority of keepers hold its value, unfenced, under leases that run.
+    """Whether the owner may act now: a majority of replicas hold its value, unfenced, under running leases.
 
-    Any other's majority meets this one in a keeper that denies it until that lease is over.
+    Any other router's majority shares a replica with this one, which denies it until that lease is over.
     """
     return work.owner == own and len(written & granted) >= majority(replicas)
--- a/cloverhinge/ownership/replica_sets.py
+++ b/cloverhinge/ownership/replica_sets.py
@@ -1,13 +1,13 @@
-"""Whose majority keeps records: a numbered list of routers' runs, each agreed on by the one before it.  Pure.
+"""Replica sets: numbered lists of the routers that hold replicas, each elected by the one before.  Pure.
 
-The next roster is decided as one decree of Paxos (Lamport 1998) by the members of the present one.  A member
-that learns of it votes no more in the old one, tells the new members what it holds, and a new member votes
-once all `sources` have told.  Members who can't tell leave a hole: records that may have been lost with them
-are unknown for as long as a record could have lasted.
+The next replica set is decided as one decree of Paxos (Lamport 1998) by the members of the current one.  A
+member that learns of it stops voting in the old one and transfers the replicas that it holds to the new
+members; a new member votes once all `sources` have done so.  Members that cannot transfer theirs leave a
+hole: records that may have been lost with them count as unknown for as long as a record could have lasted.
 
-The first roster is agreed on by a majority of the routers that the installation has.  A router that others
-remember from an earlier run knows that there was one: where one is present, a first roster needs all routers
-of the installation, none of them with a roster, and what was kept before is unknown.
+The first replica set is agreed on by a majority of the installation's routers.  A router that others remember
+from an earlier run knows that there was one: where such a router is present, a first replica set needs all
+routers of the installation, none of them with a replica set, and all earlier records count as unknown.
 """
 
 from __future__ import annotations
@@ -22,43 +22,43 @@
 from cloverhinge.ownership.replica import next_ballot
 from cloverhinge.ownership.wire import Hole, Member, ReplicaSet
 
-SETTLE_MS = 700.0  # members that differ from the roster for so long are a reason for the next one
-STAGGER_MS = 400.0  # and for each member before this one in the list, so that one proposes at a time
-PROPOSAL_TIMEOUT_MS, MAX_PROPOSAL_TIMEOUT_MS = (
-    400.0,
-    6400.0,
-)  # a proposal that was not decided in so long begins anew, twice as long
-RESEND_MS = 100.0
-MAX_HOLES = 16
+SETTLE_MS = 700.0  # a next replica set is proposed once the members have differed from it for so long
+STAGGER_MS = 400.0  # added for each member before this one in the list, so that one proposes at a time
+# A proposal that is not decided in time begins anew, with twice the time up to the second figure.
+PROPOSAL_TIMEOUT_MS, MAX_PROPOSAL_TIMEOUT_MS = 400.0, 6400.0
+RESEND_MS = 100.0  # between messages of one proposal
+MAX_HOLES = 16  # in one replica set, the latest
 
 Outgoing = list[tuple[str, wire.Items]]
-RunsByName = Mapping[str, tuple[int, int]]  # by name: the run that is a member now, and its incarnation
+RunsByName = Mapping[str, tuple[int, int]]  # by router name: its present run and that run's incarnation
 
 
 @dataclass(slots=True)
 class ReplicaSetProposal:
-    """This router's try at the next roster."""
+    """This router's proposal for the next replica set."""
 
     ballot: Ballot
-    value: ReplicaSet
+    value: ReplicaSet  # written unless a promise reports an accepted one
     begun_ms: float
     sent_ms: float
     promises: dict[str, tuple[Ballot, ReplicaSet | None]] = field(default_factory=dict)
-    writing: ReplicaSet | None = None
+    writing: ReplicaSet | None = None  # the value of the write round; None during the prepare round
     written: set[str] = field(default_factory=set)
 
 
 class ReplicaSetManager:
+    """One router's view of the replica set, its vote and its proposals for the next one."""
+
     def __init__(self, own: Member, routers: int, hole_ms: float, seed: int) -> None:
-        """`routers`: how many the installation has."""
+        """`routers`: how many the installation has; `hole_ms`: how long a hole counts."""
         self.own, self.routers, self.hole_ms = own, routers, hole_ms
         self.random = random.Random(seed)
         self.current: ReplicaSet | None = None
-        self.completed_sources: set[str] = set()  # sources that have told all
-        self.active_since_ms: float | None = None  # since when this one votes
+        self.completed_sources: set[str] = set()  # that have transferred all
+        self.active_since_ms: float | None = None  # since when this router votes
         self.fresh, self.earlier_run_known = False, False
-        self.all_replaced = False  # no member of the roster is left
-        self.stuck_reason = ""  # why no next roster can be had
+        self.all_replaced = False  # no member of the current replica set is left
+        self.stuck_reason = ""  # why no next replica set can be elected
         self._promised: Ballot = NO_BALLOT
         self._accepted: Ballot = NO_BALLOT
         self._value: ReplicaSet | None = None
@@ -66,26 +66,25 @@
         self._wanted: tuple[Member, ...] = ()
         self._wanted_since_ms: float | None = None
         self._holes: dict[Hole, float] = {}
-        self.representatives: dict[
-            str, Member
-        ] = {}  # by a run that was: whose store, now read by this one, is whole
+        # By the member id of an earlier run: the present run that has that run's complete store.
+        self.representatives: dict[str, Member] = {}
         self.forgetful_runs: frozenset[str] = (
             frozenset()
-        )  # runs that remember nothing of earlier ones of their names
-        self.restored = False  # this run began with a roster from before its start
-        self.settled = False  # all members of the roster were known to vote in it, once
+        )  # runs without the state of earlier ones of their name
+        self.restored = False  # this run began with a replica set restored from the store
+        self.settled = False  # all members of the replica set were once known to vote in it
         self._proposal_timeout_ms = PROPOSAL_TIMEOUT_MS
-        self._yields = 0  # to others' tries at the next roster
+        self._yields = 0  # times that it backed off for others' proposals
         self._back_off_until_ms = -1e12
-        self.vote_suspended = False  # its own store is not judged yet, or failed: it has no voice
+        self.vote_suspended = False  # the own store is not checked yet, or failed
 
     @property
     def vote_state(self) -> VoteState:
-        """What outlives a restart."""
+        """The state that outlives a restart."""
         return VoteState(self.current, self._promised, self._accepted, self._value, self.settled)
 
     def restore(self, now: float, vote_state: VoteState) -> None:
-        """From a store that is whole: this router has the voice of the run that wrote it."""
+        """Takes the state of a complete store: this run votes in place of the run that wrote it."""
         if vote_state.replica_set is not None:
             self.enter(now, vote_state.replica_set)
         self._promised, self._accepted, self._value = (
@@ -96,45 +95,50 @@
         self.settled, self.restored = vote_state.settled, True
 
     def _counted_as(self, member_id: str) -> str:
-        """The member as whom this run is counted."""
+        """The member id that this run's vote counts for."""
         members = () if self.current is None else self.current.members
         return next((x.member_id for x in members if self._current_run(x).member_id == member_id), member_id)
 
     def _current_run(self, member: Member) -> Member:
-        """The run that speaks for a member."""
+        """The run that represents a member."""
         return self.representatives.get(member.member_id, member)
 
     @property
     def is_source(self) -> bool:
-        """Whether the others wait for what this router holds."""
+        """Whether the other members wait for this router's replicas."""
         return self.current is not None and self.own in map(self._current_run, self.current.sources)
 
     @property
     def number(self) -> int:
+        """Of the current replica set; 0 where there is none."""
         return 0 if self.current is None else self.current.number
 
     @property
     def lineage(self) -> int:
+        """A random number that all successors of one first replica set share; 0 where there is none."""
         return 0 if self.current is None else self.current.lineage
 
     @property
     def holes(self) -> list[Hole]:
+        """The holes that still count."""
         return list(self._holes)
 
     @property
     def is_member(self) -> bool:
+        """Whether this run is a member of the current replica set, or represents one."""
         return self.current is not None and self.own in map(self._current_run, self.current.members)
 
     @property
     def active(self) -> bool:
+        """Whether this router votes on records."""
         return self.active_since_ms is not None
 
     def is_quorum(self, votes: Collection[str], runs: RunsByName) -> bool:
-        """Whether these decide the next roster.
+        """Whether these member ids decide the next replica set.
 
-        Either more than half of the present one's members; or all of them but those in whose place a later
-        run of their name stands (`runs`): those are gone, and can vote for nothing else.  Where all are gone
-        nothing of it is remembered, and a majority of the installation's routers begins anew.
+        Either more than half of the current members; or all of them but those replaced by a later run of
+        their name (`runs`), which are gone and can vote for nothing else.  Where all are gone nothing of the
+        replica set is remembered, and a majority of the installation's routers founds a new one.
         """
         if self.current is None or self._all_replaced(runs):
             return len(votes) >= majority(self.routers)
@@ -145,11 +149,11 @@
         return bool(voices) and all(x.member_id in voices or x in replaced for x in members)
 
     def _replaced(self, runs: RunsByName) -> set[Member]:
-        """Members in whose place a later run is seen that says that it remembers nothing.
+        """Members replaced by a later run of their name, which reports that it remembers nothing.
 
-        An earlier run is only what is known too late.  Incarnations tell the two apart, but not for one that
-        began with a roster: all may have restarted.  Then it goes by what runs say of themselves; one taken
-        for gone by mistake leaves quorums that meet, as long as these are fewer than half.
+        An earlier run may be reported late.  Incarnations tell the two apart, except to a router that
+        restored its replica set: all may have restarted.  It relies on what runs report of themselves;
+        quorums still intersect as long as the members taken for gone by mistake are fewer than half.
         """
         if self.current is None:
             return set()
@@ -176,9 +180,12 @@
         fresh: bool,
         earlier_run_known: bool,
     ) -> Outgoing:
-        """`wanted`: routers that take part now, in order; `settled`: all of the roster are known to vote;
-        `lived`: some of them are remembered from an earlier run; `fresh`: none is, or all are here and have
-        no roster."""
+        """Proposes the next replica set where one is due; returns the messages to send.
+
+        `wanted`: routers that take part now, in order; `settled`: all members of the replica set are known to
+        vote; `earlier_run_known`: some of `wanted` are remembered from an earlier run; `fresh`: none of them
+        is, or all routers are present and have no replica set.
+        """
         self.fresh, self.earlier_run_known = fresh, earlier_run_known
         for hole in [x for x, since in self._holes.items() if now - since > self.hole_ms]:
             del self._holes[hole]
@@ -201,7 +208,7 @@
             if now - self._wanted_since_ms < SETTLE_MS:
                 return []
             needed = self.routers if self.current is None or self.all_replaced else len(members)
-            self.stuck_reason = f"{len(voters)} of {needed} routers are here, too few to keep work"
+            self.stuck_reason = f"{len(voters)} of {needed} routers are present, too few to replicate work"
             self._proposal = None
             return []
         self.stuck_reason = ""
@@ -212,29 +219,28 @@
         if now < self._back_off_until_ms:
             return []
         if proposal is not None and proposal.begun_ms > 0.0:
-            self._proposal_timeout_ms = min(
-                2.0 * self._proposal_timeout_ms, MAX_PROPOSAL_TIMEOUT_MS
-            )  # disks may be slow
+            # The members' disks may be slow.
+            self._proposal_timeout_ms = min(2.0 * self._proposal_timeout_ms, MAX_PROPOSAL_TIMEOUT_MS)
         self._proposal = ReplicaSetProposal(ballot, self._next_replica_set(wanted, runs, settled), now, now)
         return self._send(now, self._proposal)
 
     def _next_replica_set(self, wanted: tuple[Member, ...], runs: RunsByName, settled: bool) -> ReplicaSet:
         current = self.current
-        born = tuple(runs[x.name][1] if x.name in runs else 1 for x in wanted)
+        incarnations = tuple(runs[x.name][1] if x.name in runs else 1 for x in wanted)
         if current is None:
-            # What was kept before all began anew is not known: everything may have been.
-            anew = (Hole(0, wanted, tuple(x.member_id for x in wanted)),) if self.earlier_run_known else ()
-            return ReplicaSet(self.random.getrandbits(62) + 1, 1, wanted, born, (), anew)
+            # Which records there were before all restarted is not known: any may have been lost.
+            lost = (Hole(0, wanted, tuple(x.member_id for x in wanted)),) if self.earlier_run_known else ()
+            return ReplicaSet(self.random.getrandbits(62) + 1, 1, wanted, incarnations, (), lost)
         known = sorted({*current.members, *(() if settled else current.sources)})
         sources = tuple(sorted({y for x in known if (y := self._current_run(x)) in wanted}))
         missing = tuple(x.member_id for x in known if self._current_run(x) not in wanted)
         holes = list(self._holes)
         if missing:
             holes.append(Hole(current.number, current.members, missing))
-            if not settled:  # what the one before held may not have been told whole either
+            if not settled:  # the transfer from the replica set before may not have been complete either
                 holes = [Hole(x.number, x.members, tuple(sorted({*x.missing, *missing}))) for x in holes]
         return ReplicaSet(
-            current.lineage, current.number + 1, wanted, born, sources, tuple(holes[-MAX_HOLES:])
+            current.lineage, current.number + 1, wanted, incarnations, sources, tuple(holes[-MAX_HOLES:])
         )
 
     def _electors(self) -> list[str]:
@@ -258,11 +264,11 @@
     # Voting
 
     def _may_vote_after(self, number: int) -> bool:
-        """Whether this router has a voice in what follows that roster."""
+        """Whether this router votes on the successor of that replica set."""
         return not self.vote_suspended and number == self.number and (self.current is not None or self.fresh)
 
     def _newer_for(self, number: int) -> wire.Items | None:
-        """For one who asks about an earlier roster."""
+        """The answer to a request that concerns an earlier replica set."""
         return (
             None
             if self.current is None or number >= self.number
@@ -270,7 +276,7 @@
         )
 
     def _back_off(self, now: float) -> None:
-        """Another tries: it is left alone for longer each time, so that two do not undo each other's."""
+        """Leaves another's proposal alone, for longer each time, so that two do not void each other's."""
         self._yields += 1
         if self._yields > 1:
             self._back_off_until_ms = now + min(
@@ -278,17 +284,20 @@
             )
 
     def on_prepare(self, now: float, prepare: wire.ReplicaSetPrepare) -> wire.Items | None:
+        """Answers a prepare request, if this router has a vote or a newer replica set."""
         if not self._may_vote_after(prepare.number):
             return self._newer_for(prepare.number)
         if prepare.ballot <= self._promised:
             return wire.ReplicaSetRefused(prepare.number, prepare.ballot, self._promised)
         if prepare.ballot[1] != self.own.member_id:
-            self._proposal = None  # its own try is void: the other's may be counted without the dead
+            # The own proposal is void: the other's quorum may be counted without dead members.
+            self._proposal = None
             self._back_off(now)
         self._promised = prepare.ballot
         return wire.ReplicaSetPromised(prepare.number, prepare.ballot, self._accepted, self._value)
 
     def on_write(self, write: wire.ReplicaSetWrite) -> wire.Items | None:
+        """Answers a write, if this router has a vote or a newer replica set."""
         if not self._may_vote_after(write.number):
             return self._newer_for(write.number)
         if write.ballot < self._promised:
@@ -300,6 +309,7 @@
     def on_promised(
         self, now: float, member_id: str, promised: wire.ReplicaSetPromised, runs: RunsByName
     ) -> Outgoing:
+        """Takes a promise; returns the writes to send once a quorum has promised."""
         proposal = self._proposal
         if (
             proposal is None
@@ -319,7 +329,7 @@
     def on_written(
         self, member_id: str, written: wire.ReplicaSetWritten, runs: RunsByName
     ) -> ReplicaSet | None:
-        """The next roster, once it is decided."""
+        """Takes an acceptance; returns the next replica set once it is decided."""
         proposal = self._proposal
         if (
             proposal is None
@@ -333,20 +343,22 @@
         return proposal.writing if self.is_quorum(proposal.written, runs) else None
 
     def on_refused(self, now: float, refused: wire.ReplicaSetRefused) -> None:
+        """Takes a refusal: the proposal is repeated later with a higher ballot."""
         if self._proposal is not None and refused.ballot == self._proposal.ballot:
             self._promised = max(self._promised, refused.promised)
-            self._proposal.begun_ms = -1e12  # begins anew above it, once the other had its time
+            self._proposal.begun_ms = -1e12  # begins anew with a higher ballot after the back-off
             self._back_off(now)
 
     # Following
 
     def is_newer(self, replica_set: ReplicaSet) -> bool:
-        """Whether this is news of this router's own lineage, or its first."""
+        """Whether it is a later one of this router's lineage, or this router's first."""
         return self.current is None or (
             replica_set.lineage == self.current.lineage and replica_set.number > self.current.number
         )
 
     def enter(self, now: float, replica_set: ReplicaSet) -> None:
+        """Makes it the current replica set; this router votes once all sources have completed."""
         self.current, self.completed_sources, self.active_since_ms = replica_set, set(), None
         self.settled = False
         self._proposal_timeout_ms, self._yields, self._back_off_until_ms = PROPOSAL_TIMEOUT_MS, 0, -1e12
@@ -358,7 +370,7 @@
         self._activate_if_complete(now)
 
     def source_completed(self, now: float, member_id: str) -> None:
-        """A source has told all that it holds for this one."""
+        """A source has transferred all that it holds for this router."""
         self.completed_sources.add(member_id)
         self._activate_if_complete(now)
 
