--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Custody's machines in virtual time: take-over, hand-over, rosters, and random schedules."""
+"""Ownership cores in virtual time: take-over, hand-over, replica sets, and random schedules."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_random_schedules_break_no_promise(seed: int) -> None:
+def test_random_schedules_violate_no_guarantee(seed: int) -> None:
     made = rough(seed, SPAN_MS)
     assert not made.broken()
     if not sum(x.custody.counters.unknown for x in made.keepers):
         assert not made.unowned()
 
 
-@pytest.mark.parametrize("seed", (*SEEDS, 22, 329))  # the last two once ended without a roster
-def test_random_schedules_with_stores_break_no_promise_though_all_are_killed_at_once(seed: int) -> None:
+@pytest.mark.parametrize("seed", (*SEEDS, 22, 329))  # the last two once ended without a replica set
+def test_random_schedules_with_stores_violate_no_guarantee_even_if_all_are_killed_at_once(seed: int) -> None:
     made = rough(seed, SPAN_MS, stores=True)
     assert not made.broken()
 
@@ -58,7 +58,7 @@
     assert sum(shares) == 60 and max(shares) <= 30, shares
 
 
-def test_the_first_roster_needs_most_routers_and_later_ones_most_of_the_last() -> None:
+def test_the_first_replica_set_needs_a_majority_of_routers_and_later_ones_of_the_last_set() -> None:
     made = Keepers(5, 3)
     for router in made.routers[:2]:
         router.start()
@@ -75,12 +75,12 @@
     made.routers[1].start()
     made.routers[2].start()
     made.until_rostered()
-    assert fetched(made, 1, "p2") == "failed"  # two of three keepers forgot: it may have been set up
+    assert fetched(made, 1, "p2") == "failed"  # two of three replicas were lost: it may have been set up
     made.net.run(made.rules_kept.hole_ms)
     assert fetched(made, 1, "p3") == "200"
 
 
-def test_all_restart_at_once_and_what_was_kept_is_unknown() -> None:
+def test_all_restart_at_once_and_earlier_records_are_unknown() -> None:
     made = world(5)
     assert fetched(made, 0, "p0") == "200"
     for router in made.routers:
@@ -88,7 +88,7 @@
         router.start()
     made.net.run(3000.0)
     made.until_rostered()
-    # Nobody remembers: it is a new installation, or everything is unknown.
+    # No router has any state: it is a new installation, or all records count as unknown.
     assert fetched(made, 2, "p0") in ("failed", "200")
 
 
@@ -117,7 +117,7 @@
 
 
 def test_what_was_not_safe_was_not_said() -> None:
-    """The power goes when the first byte has just left: no commit that was under way is on a disk."""
+    """A power failure just after a set-up's first byte was sent: no commit under way reaches a disk."""
     made = with_stores(5, sync_ms=200.0)
     made.keepers[1].fetch("p0")
     begun = made.net.now
@@ -129,13 +129,13 @@
         router.kill()
         router.start()
     made.until_rostered()
-    answers = [fetched(made, 2, "p0") for _ in range(4)]  # on such a disk it may be refused at first
+    answers = [fetched(made, 2, "p0") for _ in range(4)]  # with so slow a disk it may be refused at first
     assert answers[-1] in ("failed", "200"), answers
     assert len(made.session("p0").sent) == 1 and not made.broken()
 
 
 def test_a_keeper_that_comes_back_at_once_honours_the_lease_it_had_granted() -> None:
-    """The owner sleeps with a set-up about to leave, and may still send it when it wakes."""
+    """The owner is paused with a set-up about to be sent, and may still send it when it resumes."""
     made = with_stores(5, lease_ms=20_000.0)
     owner = made.keepers[1]
     fetch = owner.fetch("p0")
@@ -172,7 +172,7 @@
     assert answers <= {"failed", "200"} and not made.broken()
 
 
-def test_a_lone_router_keeps_its_own_work() -> None:
+def test_a_single_router_replicates_its_own_work() -> None:
     made = world(1)
     assert fetched(made, 0, "p0") == "200" and not made.broken()
 
@@ -196,7 +196,7 @@
     owner = made.keepers[1]
     assert fetched(made, 1, "p0") == "200"
     made.net.pause(owner.process)
-    made.net.cut([made.keepers[2].address], [owner.address], both=False)  # it hears of it from keepers alone
+    made.net.cut([made.keepers[2].address], [owner.address], both=False)  # only replicas can tell it
     assert fetched(made, 2, "p0") == "200"
     made.net.heal()
     made.net.wake(owner.process)
@@ -205,7 +205,7 @@
     assert owner.custody.counters.fenced == 1
 
 
-def test_what_was_given_away_is_not_claimed_as_new_in_the_next_roster() -> None:
+def test_a_handed_over_record_is_not_claimed_as_new_in_the_next_replica_set() -> None:
     made = world(5)
     assert fetched(made, 1, "p0") == "200" and fetched(made, 2, "p0") == "200"
     made.keepers[4].kill()
@@ -214,13 +214,13 @@
 
 
 def test_a_claim_that_one_keeper_took_hides_nothing_that_most_hold() -> None:
-    """It missed what the two others took, and took a later claim alone; then the owner is silent."""
+    """One replica missed what two others accepted, and alone accepts a later claim; the owner is paused."""
     made = world(3)
     a, b, c = made.keepers
     made.net.cut([a.address], [c.address])
     a.fetch("p0")
     made.net.run(20.0)
-    assert "p0" not in a.sessions  # two have taken the claim: one may have taken another's
+    assert "p0" not in a.sessions  # two accepted the claim: the third may have accepted another's
     assert fetched(made, 0, "p0") == "200"
     made.net.pause(a.process)
     made.net.heal()
@@ -228,8 +228,9 @@
     assert len(made.session("p0").sent) == 1 and made.owners("p0") == ["r002"]
 
 
-def test_an_intent_that_was_written_and_not_acted_on_is_no_failure_after_a_change_of_rosters() -> None:
-    """It had to be asked for, as a keeper is away; the roster changes when one has taken it."""
+def test_a_prepared_record_not_acted_on_is_no_failure_after_a_change_of_the_replica_set() -> None:
+    """The write follows a prepare round, as a replica is unreachable; the replica set changes when one
+    replica has accepted it."""
     made = world(5)
     asker = made.keepers[0]
     keepers = asker.custody.replicas_of("p0")
@@ -240,7 +241,7 @@
     while (attempt := asker.custody.acquisitions.get("p0")) is None or attempt.stage is not Stage.WRITE:
         made.net.run(0.1)
         assert made.net.now - begun < 1000.0
-    attempt.wrote_prepared = False  # as where the claim was asked for from the start
+    attempt.wrote_prepared = False  # as where the attempt began with a prepare round
     asker.custody._decide(made.net.now, attempt, None, False)
     made.net.run(0.3)
     attempt.stage, attempt.next_ms, attempt.may_claim = Stage.WAIT, made.net.now, False
@@ -248,12 +249,12 @@
     assert fetch.answer == "200" and not made.broken()
 
 
-def test_keepers_are_on_other_sites_first_and_spread() -> None:
+def test_replicas_are_on_other_sites_first_and_spread() -> None:
     members = tuple(Member(f"r{n}", n, f"s{n % 3}") for n in range(9))
     sites = {x.member_id: x.site for x in members}
     for number in range(100):
-        those = placement.choose_replicas(f"h/{number}", members, 3)
-        assert {sites[x] for x in those} == {"s0", "s1", "s2"}
+        chosen = placement.choose_replicas(f"h/{number}", members, 3)
+        assert {sites[x] for x in chosen} == {"s0", "s1", "s2"}
     counts = [
         sum(x.member_id in placement.choose_replicas(f"h/{n}", members, 3) for n in range(300))
         for x in members
@@ -261,21 +262,21 @@
     assert min(counts) > 50, counts
 
 
-def test_a_successor_is_drawn_by_room() -> None:
-    room = {"a": 300.0, "b": 100.0, "c": 0.0}
-    drawn = [placement.choose_successor(f"h/{n}", ("a", "b", "c"), room) for n in range(400)]
+def test_a_successor_is_drawn_by_spare_capacity() -> None:
+    spare_capacity = {"a": 300.0, "b": 100.0, "c": 0.0}
+    drawn = [placement.choose_successor(f"h/{n}", ("a", "b", "c"), spare_capacity) for n in range(400)]
     assert drawn.count("a") > 2 * drawn.count("b") > 20 * drawn.count("c")
 
 
-def test_a_record_is_lost_with_most_of_its_keepers_until_it_is_written_again() -> None:
+def test_a_record_is_lost_with_a_majority_of_its_replicas_until_it_is_written_again() -> None:
     members = tuple(Member(f"r{n}", n) for n in range(5))
-    those = placement.choose_replicas("h/1", members, 3)
-    assert placement.may_be_lost("h/1", 0, Hole(4, members, those[:2]), 3)
-    assert not placement.may_be_lost("h/1", 0, Hole(4, members, those[:1]), 3)
-    assert not placement.may_be_lost("h/1", placement.first_counter(5) + 1, Hole(4, members, those[:2]), 3)
+    chosen = placement.choose_replicas("h/1", members, 3)
+    assert placement.may_be_lost("h/1", 0, Hole(4, members, chosen[:2]), 3)
+    assert not placement.may_be_lost("h/1", 0, Hole(4, members, chosen[:1]), 3)
+    assert not placement.may_be_lost("h/1", placement.first_counter(5) + 1, Hole(4, members, chosen[:2]), 3)
 
 
-def test_a_claim_is_taken_only_where_nobody_came_and_a_term_is_written_on_under() -> None:
+def test_a_claim_is_accepted_only_by_an_empty_slot_and_later_writes_keep_its_term() -> None:
     mine, other = Work("a#1", 1, Phase.INTENT, True), Work("b#1", 1, Phase.INTENT, True)
     slot, reply = register.accept(EMPTY_SLOT, (1, "a#1", 0), mine, is_claim=True)
     assert isinstance(reply, Accepted)
@@ -288,10 +289,10 @@
 
 def test_claims_are_bounded() -> None:
     made = world(3)
-    custody, now = made.keepers[0].custody, made.net.now
-    custody.acquisitions = {str(n): None for n in range(5000)}  # type: ignore[misc]
-    told = custody.claim(now, 1, "h/x", True, b"", now + 10, now + 10)
-    assert [x.verdict for x in told if hasattr(x, "verdict")] == [Verdict.UNREPLICATED]
+    core, now = made.keepers[0].custody, made.net.now
+    core.acquisitions = {str(n): None for n in range(5000)}  # type: ignore[misc]
+    actions = core.claim(now, 1, "h/x", True, b"", now + 10, now + 10)
+    assert [x.verdict for x in actions if hasattr(x, "verdict")] == [Verdict.UNREPLICATED]
 
 
 def main() -> None:
@@ -302,18 +303,18 @@
 
     first, last = int(sys.argv[1]), int(sys.argv[2])
     with ProcessPoolExecutor() as pool:
-        told_of = partial(_told, stores="stores" in sys.argv)
-        for seed, told in zip(range(first, last), pool.map(told_of, range(first, last)), strict=True):
-            if told:
-                print(seed, told, flush=True)
+        result_of = partial(_result, stores="stores" in sys.argv)
+        for seed, result in zip(range(first, last), pool.map(result_of, range(first, last)), strict=True):
+            if result:
+                print(seed, result, flush=True)
     print(f"{last - first} schedules")
 
 
-def _told(seed: int, stores: bool) -> str:
+def _result(seed: int, stores: bool) -> str:
     try:
         made = rough(seed, stores=stores)
     except AssertionError as error:
-        return f"no roster: {str(error)[:300]}"
+        return f"no replica set: {str(error)[:300]}"
     unknown = sum(x.custody.counters.unknown for x in made.keepers)
     return "; ".join([*made.broken(), *([] if unknown else made.unowned())])
 
