--- a/cloverhinge/admission/__init__.py
+++ b/cloverhinge/admission/__init__.py
@@ -1,5 +1,5 @@
-"""The door: who may come in, in which order, and what is quoted to those who may not yet.
+"""Admission: which set-up requests are admitted, in which order, and when the others may return.
 
-May use core/ and decision/.  Must not know wires: fronts say who asks, and get verdicts through the core.
-Loaded only where the site's file has a table [door].
+May use core/ and decision/.  Independent of protocols: the front ends identify the client of a request, and
+verdicts reach them through the core.  Loaded only where the site file has a table [door].
 """
--- a/cloverhinge/admission/clients.py
+++ b/cloverhinge/admission/clients.py
@@ -1,5 +1,7 @@
-"""Who asks: a client by the word of its page, else by the viewer's network, else one of the others.  Free
-of I/O."""
+"""Identifies the client of a request: by a proof from its page, else by the viewer's network, else `others`.
+
+Free of I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,26 +12,27 @@
 
 from cloverhinge.site.model import ClientSite
 
-MAX_CACHED_PEERS = 4096  # addresses whose client is remembered
+MAX_CACHED_PEERS = 4096  # addresses whose client is cached
 PROOF_LENGTH = 64  # hex digits of an HMAC-SHA256
 
 
 class ProofError(ValueError):
-    """A proof that does not fit, in one plain sentence."""
+    """An invalid proof; the message is one plain sentence."""
 
 
 class Clients:
-    """`others` is the last of the clients that the site names."""
+    """The clients of the site, numbered in their order; the last one is `others`."""
 
     def __init__(self, sites: tuple[ClientSite, ...]) -> None:
         self.sites = sites
-        self.by_name = {one.name: at for at, one in enumerate(sites)}
-        nets = [(net, at) for at, one in enumerate(sites) for net in one.networks]
-        self.networks = sorted(nets, key=lambda x: -x[0].prefixlen)  # the narrowest first
+        self.by_name = {site.name: index for index, site in enumerate(sites)}
+        networks = [(net, index) for index, site in enumerate(sites) for net in site.networks]
+        self.networks = sorted(networks, key=lambda x: -x[0].prefixlen)  # longest prefix first
         self.find_by_peer = lru_cache(MAX_CACHED_PEERS)(self._find_by_peer)
 
     @property
     def others(self) -> int:
+        """Number of the client for viewers that no other client vouches for."""
         return len(self.sites) - 1
 
     def _find_by_peer(self, peer: str) -> int:
@@ -37,23 +40,29 @@
             address = ip_address(peer)
         except ValueError:
             return self.others
-        return next((at for net, at in self.networks if address in net), self.others)
+        return next((index for net, index in self.networks if address in net), self.others)
 
     def identify(self, peer: str, name: str, proof: str, subject: str) -> int:
-        """The client's number.  `what` is the play id or session that the proof was made for."""
+        """The number of a request's client.
+
+        `subject` is the play id or session id that the proof was made for.  Raises ProofError where a name or
+        proof is given and they don't match.
+        """
         if not name and not proof:
             return self.find_by_peer(peer)
-        at = self.by_name.get(name)
-        key = self.sites[at].key if at is not None else b""
-        fits = hmac.compare_digest(
+        index = self.by_name.get(name)
+        key = self.sites[index].key if index is not None else b""
+        matches = hmac.compare_digest(
             compute_proof(key, name, subject).encode(), proof.lower().encode("utf-8", "replace")
         )
-        if at is None or not key or not fits:
+        if index is None or not key or not matches:
             raise ProofError("the proof does not fit the client that it names")
-        return at
+        return index
 
 
 def compute_proof(key: bytes, name: str, subject: str) -> str:
-    """What a client's page adds for a viewer: hex HMAC-SHA256 (RFC 2104) of `NAME/ID` under the client's
-    key."""
+    """The proof that a client's page adds for a viewer.
+
+    It is the HMAC-SHA256 (RFC 2104) of `NAME/ID` under the client's key, in hex.
+    """
     return hmac.new(key, f"{name}/{subject}".encode(), hashlib.sha256).hexdigest()
--- a/cloverhinge/admission/fair_queue.py
+++ b/cloverhinge/admission/fair_queue.py
@@ -1,8 +1,9 @@
-"""The door's decisions: who is let in, who waits, who is answered at once and with which quote.  Free of I/O.
+"""Admission decisions: which set-up requests are admitted, wait, or are rejected with a retry-after estimate.
 
-Events and a time go in, verdicts come out.  Requests are known by opaque numbers.  Times are ms; a part is a
-session's dominant share of links and places (Ghodsi et al., "Dominant Resource Fairness", NSDI 2011), so a
-client's holding is a share of the fleet.  docs/design/door.md says why it is done so.
+Free of I/O: events and a time go in, verdicts come out.  Requests are identified by opaque numbers.  Times
+are in ms.  A share is a session's dominant share of links and places (Ghodsi et al., "Dominant Resource
+Fairness", NSDI 2011), so a client's used share is a share of the fleet.  docs/design/door.md gives the
+reasons.
 """
 
 from __future__ import annotations
@@ -18,44 +19,46 @@
 from cloverhinge.admission.forecast import DepartureCurve, LifeTable, departure_curve
 from cloverhinge.admission.reservations import Reservation, ReservationTable
 
-BUCKETS = 64  # of addresses inside a client whom nobody vouches for
-MAX_LANES = 64  # of a bucket: who asks for yet another pool is quoted without a promise
-GUARANTEED_WAITING = 8  # requests of a client that may wait even where the door is full of others
-MAX_BUCKET_FRACTION = 1 / 8  # of the requests that may wait: the most of one bucket where there are many
-MAX_CLIENT_FRACTION = 1 / 2  # and of one client
-MIN_TIME_LEFT_MS = 50.0  # time left that counts as none: the pace of looking
+BUCKETS = 64  # address buckets of the client for viewers that no other client vouches for
+MAX_LANES = 64  # per bucket; a request for a further pool gets an estimate without a reservation
+GUARANTEED_WAITING = 8  # requests of a client that may wait even when other clients fill the queue
+MAX_BUCKET_FRACTION = 1 / 8  # of the queue, for one bucket of a client that has many
+MAX_CLIENT_FRACTION = 1 / 2  # of the queue, for one client
+MIN_TIME_LEFT_MS = 50.0  # remaining time counts as at least the polling interval
 MIN_CLASS_SHARE = 0.1  # of a bucket's turns, for each class that waits
-SET_UP_FRACTION, MAX_SET_UP_MS = 0.3, 600.0  # of a request's time, kept for its set-up after it is let in
-CAPACITY_CACHE_MS = 20.0  # what had no room is not asked for again so soon, unless something has left
-CAPACITY_FRACTION = 0.25  # of the room that is told, let in at the most before it is asked for again
-FORECAST_INTERVAL_MS = 500.0  # pace at which forecasts are made anew
-NEAR_POSITION_RATIO = 0.8  # places so near to each other share a forecast
-CLAIM_RATE_WEIGHT = 1 / 32  # of the latest promise, claimed or lost, in the share that is claimed
-FORECAST_SMOOTHING = 0.2  # weight of the newest forecast beside those before
-EXPOSURE_INTERVAL_MS = 1000.0  # and life tables weighed with what plays
-MAX_CACHED_POOLS = 256  # pools remembered with a forecast, or as full, at a time
-WINDOW_FRACTION = 0.25  # of a quote: for so long from its time on the promise stands open,
-MIN_WINDOW_MS, MAX_WINDOW_MS = 5000.0, 30_000.0  # within these: a player's pause; a bound on the line
-ESTIMATE_MARGIN = (
-    1.3  # of forecasts: with all promised that is forecast, one dip leaves a queue that never ends
-)
-MIN_RETRY_AFTER_MS = 250.0  # a viewer that comes sooner finds the same sessions standing
-SEARCH_STEPS = 14  # halvings of the time in which a place is looked for: to one part in 16,000
-RATE_SPAN_MS = 10_000.0  # newcomers of a client are counted over this time
+SET_UP_FRACTION, MAX_SET_UP_MS = 0.3, 600.0  # of a request's time left, reserved for the set-up itself
+CAPACITY_CACHE_MS = 20.0  # a full pool is not checked again for this long, unless a session ends
+CAPACITY_FRACTION = 0.25  # of the reported spare capacity, admitted before it is checked again
+FORECAST_INTERVAL_MS = 500.0  # between updates of a forecast
+NEAR_POSITION_RATIO = 0.8  # positions within this ratio of each other share a forecast
+CLAIM_RATE_WEIGHT = 1 / 32  # of the latest reservation, claimed or lapsed, in a client's claim rate
+FORECAST_SMOOTHING = 0.2  # weight of the newest forecast against the earlier ones
+EXPOSURE_INTERVAL_MS = 1000.0  # between updates of the life tables with the sessions that still play
+MAX_CACHED_POOLS = 256  # pools whose forecast or capacity is cached at a time
+WINDOW_FRACTION = 0.25  # of the estimate: how long after its time a reservation can be claimed,
+MIN_WINDOW_MS, MAX_WINDOW_MS = 5000.0, 30_000.0  # at least a player's pause, bounded to limit the queue
+# Factor on forecasts: if every forecast departure were reserved, one dip in departures would leave a queue
+# that never clears.
+ESTIMATE_MARGIN = 1.3
+MIN_RETRY_AFTER_MS = 250.0  # a viewer that returns sooner finds the same sessions playing
+SEARCH_STEPS = 14  # bisections of the time until a position is reached: to one part in 16,000
+RATE_SPAN_MS = 10_000.0  # time constant over which a client's new arrivals are counted
 
 
 @dataclass(frozen=True, slots=True)
 class ClassRule:
-    """What the door goes by of a class."""
+    """Properties of a service class that admission uses."""
 
     worth: float
-    limit_ms: float  # how long its viewers wait, as a rule
+    limit_ms: float  # how long its viewers usually wait
 
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Requests that the same room serves: a class on a title's cells; of one title alone, where it has
-    seats."""
+    """Requests that can use the same capacity: a class on the cells of a title.
+
+    For a class with seats, the pool is limited to one title.
+    """
 
     class_name: str
     first_cell: int
@@ -63,7 +66,7 @@
     title: str = ""
 
     def overlaps(self, other: Pool, cells: int) -> bool:
-        """Whether a box of one pool may be a box of the other."""
+        """Whether both pools may use the same media server, given the number of cells."""
         if min(self.copies, other.copies) >= cells:
             return True
         ahead = (other.first_cell - self.first_cell) % cells
@@ -72,103 +75,113 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
+    """A set-up request as admission sees it."""
+
     number: int
     client: int
     bucket: int
     pool: Pool
-    viewer: int  # who comes, as a number that is told apart for each client
+    viewer: int  # number of the viewer, distinct within its client
     expires_ms: float
-    share: float  # what it will hold, as far as can be told
-    reservation: Reservation | None = None  # of a ticket that it brought, verified
-    grain_ms: float = 1.0  # quotes reach its viewer rounded up to so much
+    share: float  # expected share of the session
+    reservation: Reservation | None = None  # from a verified reservation token in the request
+    retry_after_step_ms: float = 1.0  # estimates reach the viewer rounded up to a multiple of this
 
 
 @dataclass(slots=True, eq=False)
 class WaitingRequest:
+    """A set-up request in the queue."""
+
     arrival: Arrival
     lane: Lane
     since_ms: float
-    latest_admission_ms: float  # after it, no set-up fits into what is left
-    due_ms: float  # its place in its lane
-    reservation: Reservation | None = None  # that it claims
+    latest_admission_ms: float  # later, the time left is too short for a set-up
+    due_ms: float  # orders the requests of the lane
+    reservation: Reservation | None = None  # the one that it claims
 
 
 @dataclass(slots=True, eq=False)
 class Lane:
-    """Those of one bucket who wait for the same room."""
+    """Requests of one bucket that wait for the same capacity."""
 
     bucket: Bucket
     pool: Pool
     waiting: list[WaitingRequest] = field(default_factory=list)  # by `due_ms`
-    reserved_ms: SortedList[float] = field(default_factory=SortedList)  # of promises not claimed or lost yet
-    gap_ms: float = inf  # between two of its places, as forecast
-    forecast_ms: float = -inf
-    forecast_position: int = 0  # the place that it was forecast for
+    reserved_ms: SortedList[float] = field(default_factory=SortedList)  # due times of open reservations
+    gap_ms: float = inf  # forecast time between two positions
+    forecast_ms: float = -inf  # time of that forecast
+    forecast_position: int = 0  # position that it was made for
 
     @property
     def positions(self) -> int:
+        """Positions taken: waiting requests and open reservations."""
         return len(self.waiting) + len(self.reserved_ms)
 
 
 @dataclass(slots=True, eq=False)
 class Bucket:
+    """Viewers of a client that are scheduled together: all of them, or those of a group of addresses."""
+
     client: Client
     number: int
     used_share: float = 0.0
     lanes: dict[Pool, Lane] = field(default_factory=dict)
-    turn_credits: dict[str, float] = field(
-        default_factory=dict
-    )  # of its classes, while they wait: credit of turns
+    turn_credits: dict[str, float] = field(default_factory=dict)  # by class, while requests wait
     waiting: int = 0
 
 
 @dataclass(slots=True)
 class DecayingRate:
-    """A rate that forgets: events, each worth less by e after PACE_SPAN_MS."""
+    """An event rate with exponential decay: the weight of an event falls by e every RATE_SPAN_MS."""
 
     count: float = 0.0
     at_ms: float = 0.0
 
     def add(self, now: float) -> None:
+        """Count one event."""
         self.count = self.count * math.exp((self.at_ms - now) / RATE_SPAN_MS) + 1.0
         self.at_ms = now
 
     def per_ms(self, now: float) -> float:
+        """Events per ms."""
         return self.count * math.exp((self.at_ms - now) / RATE_SPAN_MS) / RATE_SPAN_MS
 
 
 @dataclass(slots=True, eq=False)
 class Client:
+    """Scheduling state and counters of one client of the site."""
+
     name: str
     weight: float
-    split_by_address: bool  # into buckets by address
+    split_by_address: bool  # into buckets
     reservations: ReservationTable
     used_share: float = 0.0
-    buckets: dict[int, Bucket] = field(default_factory=dict)  # those with a lane or a holding
+    buckets: dict[int, Bucket] = field(default_factory=dict)  # those with a lane or a used share
     waiting: int = 0
-    sessions: int = 0  # that make up its holding
-    arrival_rate: DecayingRate = field(default_factory=lambda: DecayingRate())  # of newcomers
+    sessions: int = 0  # that make up the used share
+    arrival_rate: DecayingRate = field(default_factory=lambda: DecayingRate())  # without a reservation
     asked: int = 0
     admitted: int = 0
     rejected: int = 0
-    reserved: int = 0  # with a promise
-    honoured: int = 0
-    broken: int = 0  # came back as told, and was not let in
-    lapsed: int = 0  # did not come in the window
+    reserved: int = 0  # rejected with a reservation
+    honoured: int = 0  # admitted on a reservation
+    broken: int = 0  # returned in time on a reservation and were not admitted
+    lapsed: int = 0  # reservations not claimed within their window
     early: int = 0
-    unreserved: int = 0  # quotes without a promise, as the line was full
-    given_up: int = 0  # waited, and was told before its limit that it would not do
-    on_time: int = 0  # of those kept: within 20%
-    claim_rate: float = 1.0  # share of promises that are claimed, as of late
+    unreserved: int = 0  # rejected without a reservation, as no more could be made
+    given_up: int = 0  # waited, and were rejected before their limit
+    on_time: int = 0  # of those honoured: wait within 20% of the estimate
+    claim_rate: float = 1.0  # recent fraction of reservations that are claimed
 
     @property
     def weighted_share(self) -> float:
+        """The used share over the client's weight; the lowest is served first."""
         return self.used_share / self.weight
 
 
 @dataclass(slots=True, eq=False)
 class AdmittedSession:
-    """A session that was let in."""
+    """A session that was admitted or adopted, until it ends."""
 
     client: Client
     bucket: int
@@ -176,7 +189,7 @@
     share: float
     since_ms: float = 0.0
     hint_ms: float = 0.0
-    cell: int = -1  # of its box, once it stands
+    cell: int = -1  # of its media server, once the session is established
 
 
 # Verdicts
@@ -184,12 +197,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Admit:
+    """Set up the request now."""
+
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer at once: come back after `quote_ms`.  No promise: the line was full."""
+    """Answer the request now: retry after `retry_after_ms`.
+
+    There is no reservation where the estimate or one of the tables is at its limit.
+    """
 
     number: int
     retry_after_ms: float
@@ -198,10 +216,12 @@
 
 
 Verdict = Admit | Reject
-SpareCapacity = Callable[[Pool], int]  # how many of this pool the module may take now, about
+SpareCapacity = Callable[[Pool], int]  # approximately how many sessions of a pool fit now
 
 
 class AdmissionQueue:
+    """Admits set-up requests in weighted fair order, and estimates when the others may return."""
+
     def __init__(
         self,
         clients: list[Client],
@@ -214,156 +234,168 @@
         self.clients, self.classes, self.cells, self.spare_capacity = clients, classes, cells, spare_capacity
         self.max_waiting, self.max_retry_after_ms = max_waiting, max_retry_after_ms
         self.waiting: dict[int, WaitingRequest] = {}  # by request
-        self.waiting_by_pool: Counter[Pool] = Counter()  # how many wait for a pool
+        self.waiting_by_pool: Counter[Pool] = Counter()
         self.sessions: dict[int, AdmittedSession] = {}  # by request
         self.life_tables = {name: LifeTable() for name in classes}
-        self.full_until: dict[Pool, float] = {}  # pools without room: until when that is taken as known
-        self.spare_until: dict[
-            Pool, tuple[float, int]
-        ] = {}  # ample room: until when, and how many entered by then
-        self.admitted_count = 0  # let in, of all pools
-        self.single_place_pools: set[Pool] = set()  # pools that had room for one when they were looked at
+        self.full_until: dict[Pool, float] = {}  # pools known to have no capacity, until when
+        # Pools known to have capacity: until when, and up to which `admitted_count`.
+        self.spare_until: dict[Pool, tuple[float, int]] = {}
+        self.admitted_count = 0  # over all pools
+        self.single_place_pools: set[Pool] = set()  # pools with capacity for one session at the last check
         self.curves: dict[Pool, tuple[float, DepartureCurve]] = {}
         self.exposure_updated_ms = -inf
         self.verdicts: list[Verdict] = []
 
     # Events
 
-    def arrive(self, now: float, one: Arrival) -> list[Verdict]:
-        """A request: it is let in, waits (no verdict), or is turned away."""
+    def arrive(self, now: float, arrival: Arrival) -> list[Verdict]:
+        """Handle a new request: it is admitted, waits (no verdict), or is rejected."""
         self.verdicts = []
-        client = self.clients[one.client]
+        client = self.clients[arrival.client]
         client.asked += 1
-        lane, promise = self._lane(client, one.bucket, one.pool), self._promise(client, one, now)
-        if promise is None:
+        lane, reservation = (
+            self._lane(client, arrival.bucket, arrival.pool),
+            self._valid_reservation(client, arrival, now),
+        )
+        if reservation is None:
             client.arrival_rate.add(now)
-        latest, free = self._latest(now, one), self._free(now, one.pool)
-        due = promise.due_ms if promise is not None else now if free else now + self._wait_ms(now, lane)
+        latest, free = self._latest_admission_ms(now, arrival), self._may_admit_now(now, arrival.pool)
+        due = (
+            reservation.due_ms
+            if reservation is not None
+            else now
+            if free
+            else now + self._estimated_wait_ms(now, lane)
+        )
         waits = not free and due <= latest and self._may_wait(lane.bucket)
-        early = promise is not None and promise.due_ms > now
+        early = reservation is not None and reservation.due_ms > now
         client.early += early
-        if promise is not None and (free or waits or not early):
-            self._uncount(client, client.reservations.claim(promise))
+        if reservation is not None and (free or waits or not early):
+            self._remove_from_lane(client, client.reservations.claim(reservation))
             client.claim_rate += (1.0 - client.claim_rate) * CLAIM_RATE_WEIGHT
-            lane = self._lane(client, one.bucket, one.pool)
+            lane = self._lane(client, arrival.bucket, arrival.pool)
         if free:
-            self._let_in(now, one, lane, promise)
+            self._admit(now, arrival, lane, reservation)
         elif waits:
-            self._wait(now, one, lane, latest, due, promise)
-            self._let_next_in(now)
-        elif promise is not None and early:
+            self._enqueue(now, arrival, lane, latest, due, reservation)
+            self._admit_next(now)
+        elif reservation is not None and early:
             client.rejected += 1
-            self.verdicts.append(Reject(one.number, promise.due_ms - now, client.name, promise))
+            self.verdicts.append(Reject(arrival.number, reservation.due_ms - now, client.name, reservation))
         else:
-            self._quote(now, one, lane, promise)
-        self._tidy(lane)
+            self._reject(now, arrival, lane, reservation)
+        self._remove_if_empty(lane)
         return self.verdicts
 
-    def valid_reservation(self, now: float, one: Arrival) -> Reservation | None:
-        """The promise that this arrival would be let in on, now or at its time."""
-        return self._promise(self.clients[one.client], one, now)
+    def valid_reservation(self, now: float, arrival: Arrival) -> Reservation | None:
+        """The open reservation that this request can claim, now or when it is due; None if it has none."""
+        return self._valid_reservation(self.clients[arrival.client], arrival, now)
 
-    def void_reservation(self, client: int, promise: Reservation) -> None:
-        """It was claimed at another router, so it counts for nothing here."""
-        of = self.clients[client]
-        self._uncount(of, of.reservations.claim(promise))
+    def void_reservation(self, client: int, reservation: Reservation) -> None:
+        """Drop a reservation that was claimed at another router."""
+        owner = self.clients[client]
+        self._remove_from_lane(owner, owner.reservations.claim(reservation))
 
     def changed(self, now: float) -> list[Verdict]:
-        """Something has left, or the fleet is another: room may have come."""
-        self._forget_room()
+        """Check for capacity again after a session ended or the fleet changed."""
+        self._forget_capacity()
         return self.serve(now)
 
     def serve(self, now: float) -> list[Verdict]:
-        """Let in who is next in fair order, if there is room.
+        """Admit the next request in fair order, if there is capacity for it.
 
-        To be called again after each one let in: only what has been carried out shows in the room that is
-        left.
+        Call it again after each admission: the spare capacity reflects only admissions that were carried out.
         """
         self.verdicts = []
-        self._let_next_in(now)
+        self._admit_next(now)
         return self.verdicts
 
     def poll(self, now: float) -> list[Verdict]:
-        """Called often while anybody waits: lets in, and answers those who can't be let in in time."""
+        """Admit, and reject requests that can't be admitted in time; called often while requests wait."""
         self.verdicts = []
-        self._let_next_in(now)
-        for waiter in list(self.waiting.values()):
-            if now >= waiter.latest_admission_ms:
-                self._turn_away(now, waiter)
+        self._admit_next(now)
+        for request in list(self.waiting.values()):
+            if now >= request.latest_admission_ms:
+                self._reject_waiting(now, request)
         for lane in {id(x.lane): x.lane for x in self.waiting.values()}.values():
             gap = self._gap_ms(now, lane, len(lane.waiting))
-            for at, waiter in enumerate(list(lane.waiting)):
-                if (
-                    now + max(at - 1, 0) * gap > waiter.latest_admission_ms
-                ):  # forecasts are rough: one place of grace
-                    self._turn_away(now, waiter)
+            for index, request in enumerate(list(lane.waiting)):
+                # Forecasts are rough, so each request is allowed one position more.
+                if now + max(index - 1, 0) * gap > request.latest_admission_ms:
+                    self._reject_waiting(now, request)
         return self.verdicts
 
     def fleet_changed(self) -> None:
-        """What was learned of room and departures was of another fleet."""
-        self._forget_room()
+        """Discard cached capacity and departures, which were those of the earlier fleet."""
+        self._forget_capacity()
         self.curves.clear()
 
-    def _forget_room(self) -> None:
+    def _forget_capacity(self) -> None:
         self.full_until.clear()
         self.spare_until.clear()
         self.single_place_pools.clear()
 
     def close(self, now: float) -> list[Verdict]:
-        """Nobody is let in any more: all who wait are answered at once."""
+        """Reject all waiting requests; the caller admits none afterwards."""
         self.verdicts = []
-        for waiter in list(self.waiting.values()):
-            self._turn_away(now, waiter)
+        for request in list(self.waiting.values()):
+            self._reject_waiting(now, request)
         return self.verdicts
 
     def ended(self, now: float, number: int, lived: bool = True) -> None:
-        """A request is over: its viewer went, or its session ended; if it was cut, it has not `lived`."""
-        if (waiter := self.waiting.get(number)) is not None:
-            self._unwait(waiter)
-            self._tidy(waiter.lane)
-        elif (held := self.sessions.pop(number, None)) is not None:
-            held.client.sessions -= 1
-            self._hold(held, -held.share)
-            if held.cell >= 0 and lived:
-                self.life_tables[held.pool.class_name].record_end(now - held.since_ms, held.hint_ms)
+        """Forget a request whose viewer left or whose session ended.
+
+        `lived` is False where the session was cut, so that its age says nothing about session lengths.
+        """
+        if (request := self.waiting.get(number)) is not None:
+            self._dequeue(request)
+            self._remove_if_empty(request.lane)
+        elif (session := self.sessions.pop(number, None)) is not None:
+            session.client.sessions -= 1
+            self._change_used_share(session, -session.share)
+            if session.cell >= 0 and lived:
+                self.life_tables[session.pool.class_name].record_end(now - session.since_ms, session.hint_ms)
 
     def established(self, now: float, number: int, cell: int, hint_ms: float) -> None:
-        """A request that was let in has been set up at a box of a cell."""
-        if (held := self.sessions.get(number)) is not None:
-            held.since_ms, held.cell, held.hint_ms = now, cell, hint_ms
+        """Record that an admitted request has been set up at a media server of a cell.
 
-    def add_playing(self, now: float, one: Arrival, cell: int, hint_ms: float) -> None:
-        """A session that plays already."""
-        self._add_session(now, one)
-        self.established(now, one.number, cell, hint_ms)
+        `hint_ms` is the expected session length; 0 if unknown.
+        """
+        if (session := self.sessions.get(number)) is not None:
+            session.since_ms, session.cell, session.hint_ms = now, cell, hint_ms
+
+    def add_playing(self, now: float, arrival: Arrival, cell: int, hint_ms: float) -> None:
+        """Add a session that plays already, such as one adopted from another router."""
+        self._add_session(now, arrival)
+        self.established(now, arrival.number, cell, hint_ms)
 
     def rung_changed(self, number: int, share: float) -> None:
-        """Its rung, and so its part, is another."""
-        if (held := self.sessions.get(number)) is not None:
-            self._hold(held, share - held.share)
-            held.share = share
+        """Update the share of a session whose rung changed."""
+        if (session := self.sessions.get(number)) is not None:
+            self._change_used_share(session, share - session.share)
+            session.share = share
 
-    def refused(self, now: float, one: Arrival) -> Reject:
-        """The module refused one that was let in: the quote that goes with the refusal."""
+    def refused(self, now: float, arrival: Arrival) -> Reject:
+        """Answer an admitted request that the controller refused; its pool counts as full for a while."""
         self.verdicts = []
-        lane = self._lane(self.clients[one.client], one.bucket, one.pool)
-        self.full_until[one.pool] = now + CAPACITY_CACHE_MS
-        self._quote(now, one, lane)
-        self._tidy(lane)
+        lane = self._lane(self.clients[arrival.client], arrival.bucket, arrival.pool)
+        self.full_until[arrival.pool] = now + CAPACITY_CACHE_MS
+        self._reject(now, arrival, lane)
+        self._remove_if_empty(lane)
         verdict = self.verdicts.pop()
         assert isinstance(verdict, Reject)
         return verdict
 
-    # Who comes in
+    # Order of admission
 
-    def _latest(self, now: float, one: Arrival) -> float:
-        return one.expires_ms - min(MAX_SET_UP_MS, max(0.0, one.expires_ms - now) * SET_UP_FRACTION)
+    def _latest_admission_ms(self, now: float, arrival: Arrival) -> float:
+        return arrival.expires_ms - min(MAX_SET_UP_MS, max(0.0, arrival.expires_ms - now) * SET_UP_FRACTION)
 
-    def _has_room(self, now: float, pool: Pool) -> bool:
+    def _has_capacity(self, now: float, pool: Pool) -> bool:
         if self.full_until.get(pool, -inf) > now:
             return False
-        until_ms, entered = self.spare_until.get(pool, (-inf, 0))
-        if now < until_ms and self.admitted_count < entered:
+        until_ms, admission_limit = self.spare_until.get(pool, (-inf, 0))
+        if now < until_ms and self.admitted_count < admission_limit:
             return True
         if count := self.spare_capacity(pool):
             if len(self.spare_until) >= MAX_CACHED_POOLS:
@@ -380,86 +412,89 @@
         self.full_until[pool] = now + CAPACITY_CACHE_MS
         return False
 
-    def _free(self, now: float, pool: Pool) -> bool:
-        """There is room, and nobody waits who could use it."""
-        return not any(x.overlaps(pool, self.cells) for x in self.waiting_by_pool) and self._has_room(
+    def _may_admit_now(self, now: float, pool: Pool) -> bool:
+        """Whether there is capacity that no waiting request could use."""
+        return not any(x.overlaps(pool, self.cells) for x in self.waiting_by_pool) and self._has_capacity(
             now, pool
         )
 
-    def _let_next_in(self, now: float) -> None:
-        waiter = next((x for x in self._order(now) if self._has_room(now, x.arrival.pool)), None)
-        if waiter is None:
+    def _admit_next(self, now: float) -> None:
+        request = next(
+            (x for x in self._admission_order(now) if self._has_capacity(now, x.arrival.pool)), None
+        )
+        if request is None:
             return
-        bucket, name = waiter.lane.bucket, waiter.arrival.pool.class_name
-        for other, share in self._shares(now, bucket).items():
+        bucket, name = request.lane.bucket, request.arrival.pool.class_name
+        for other, share in self._class_shares(now, bucket).items():
             bucket.turn_credits[other] = min(1.0, bucket.turn_credits.get(other, 0.0) + share)
         bucket.turn_credits[name] = bucket.turn_credits.get(name, 0.0) - 1.0
-        self._unwait(waiter)
-        self._let_in(now, waiter.arrival, waiter.lane, waiter.reservation)
-        self._tidy(waiter.lane)
+        self._dequeue(request)
+        self._admit(now, request.arrival, request.lane, request.reservation)
+        self._remove_if_empty(request.lane)
 
-    def _order(self, now: float) -> Iterator[WaitingRequest]:
-        """Who may be next, the first first: by least holding over weight, the bucket's holding, then
-        classes."""
+    def _admission_order(self, now: float) -> Iterator[WaitingRequest]:
+        """Candidates in order: by the client's weighted share, the bucket's share, then the class's turn."""
         for client in sorted((x for x in self.clients if x.waiting), key=lambda x: x.weighted_share):
             for bucket in sorted(
                 (x for x in client.buckets.values() if x.waiting), key=lambda x: x.used_share
             ):
-                shares = self._shares(now, bucket)
+                shares = self._class_shares(now, bucket)
                 for name in sorted(shares, key=lambda x: -(bucket.turn_credits.get(x, 0.0) + shares[x])):
                     lanes = [x for x in bucket.lanes.values() if x.waiting and x.pool.class_name == name]
                     for lane in sorted(lanes, key=lambda x: x.waiting[0].due_ms):
                         yield lane.waiting[0]
 
-    def _shares(self, now: float, bucket: Bucket) -> dict[str, float]:
-        """Turns of the classes that wait in a bucket: by worth over the time that their first has left."""
+    def _class_shares(self, now: float, bucket: Bucket) -> dict[str, float]:
+        """Fractions of a bucket's turns, by waiting class: worth over the time left to its first request."""
         urgency: dict[str, float] = {}
         for lane in bucket.lanes.values():
             if lane.waiting:
-                urgent = self._urgency(lane.pool.class_name, lane.waiting[0].latest_admission_ms - now)
-                urgency[lane.pool.class_name] = max(urgency.get(lane.pool.class_name, 0.0), urgent)
-        return self._floored(urgency)
+                lane_urgency = self._urgency(lane.pool.class_name, lane.waiting[0].latest_admission_ms - now)
+                urgency[lane.pool.class_name] = max(urgency.get(lane.pool.class_name, 0.0), lane_urgency)
+        return self._shares_with_minimum(urgency)
 
     def _urgency(self, name: str, left_ms: float) -> float:
         return self.classes[name].worth / max(left_ms, MIN_TIME_LEFT_MS)
 
-    def _floored(self, urgency: dict[str, float]) -> dict[str, float]:
+    def _shares_with_minimum(self, urgency: dict[str, float]) -> dict[str, float]:
         total, count = sum(urgency.values()), len(urgency)
         free = max(0.0, 1.0 - MIN_CLASS_SHARE * count)
         return {
             name: MIN_CLASS_SHARE + free * (x / total if total else 1 / count) for name, x in urgency.items()
         }
 
-    def _let_in(self, now: float, one: Arrival, lane: Lane, promise: Reservation | None) -> None:
+    def _admit(self, now: float, arrival: Arrival, lane: Lane, reservation: Reservation | None) -> None:
         client = lane.bucket.client
         client.admitted += 1
         self.admitted_count += 1
-        for pool in self.single_place_pools:  # it took the only place that there was
+        for pool in self.single_place_pools:  # this admission took their only place
             self.full_until[pool] = now + CAPACITY_CACHE_MS
         self.single_place_pools.clear()
-        if promise is not None:
+        if reservation is not None:
             client.honoured += 1
-            error = abs(now - promise.made_ms - promise.retry_after_ms) / promise.retry_after_ms
+            error = abs(now - reservation.made_ms - reservation.retry_after_ms) / reservation.retry_after_ms
             client.on_time += error <= 0.2
-        self._add_session(now, one)
-        self.verdicts.append(Admit(one.number))
-
-    def _add_session(self, now: float, one: Arrival) -> None:
-        held = AdmittedSession(self.clients[one.client], one.bucket, one.pool, one.share, now)
-        self.sessions[one.number] = held
-        held.client.sessions += 1
-        self._hold(held, one.share)
-
-    def _hold(self, held: AdmittedSession, part: float) -> None:
-        client = held.client
-        bucket = self._bucket(client, held.bucket)
+        self._add_session(now, arrival)
+        self.verdicts.append(Admit(arrival.number))
+
+    def _add_session(self, now: float, arrival: Arrival) -> None:
+        session = AdmittedSession(
+            self.clients[arrival.client], arrival.bucket, arrival.pool, arrival.share, now
+        )
+        self.sessions[arrival.number] = session
+        session.client.sessions += 1
+        self._change_used_share(session, arrival.share)
+
+    def _change_used_share(self, session: AdmittedSession, share: float) -> None:
+        client = session.client
+        bucket = self._bucket(client, session.bucket)
         bucket.used_share, client.used_share = (
-            max(0.0, bucket.used_share + part),
-            max(0.0, client.used_share + part),
+            max(0.0, bucket.used_share + share),
+            max(0.0, client.used_share + share),
         )
-        self._tidy_bucket(bucket)
+        self._remove_bucket_if_empty(bucket)
 
-    # Who waits
+    # Queue
 
     def _may_wait(self, bucket: Bucket) -> bool:
         client = bucket.client
@@ -473,160 +508,189 @@
             and (not client.split_by_address or bucket.waiting < self.max_waiting * MAX_BUCKET_FRACTION)
         )
 
-    def _wait(
-        self, now: float, one: Arrival, lane: Lane, latest: float, due: float, promise: Reservation | None
+    def _enqueue(
+        self,
+        now: float,
+        arrival: Arrival,
+        lane: Lane,
+        latest: float,
+        due: float,
+        reservation: Reservation | None,
     ) -> None:
-        waiter = WaitingRequest(one, lane, now, latest, due, promise)
-        at = len(lane.waiting)
-        while at and lane.waiting[at - 1].due_ms > due:
-            at -= 1
-        lane.waiting.insert(at, waiter)
+        request = WaitingRequest(arrival, lane, now, latest, due, reservation)
+        index = len(lane.waiting)
+        while index and lane.waiting[index - 1].due_ms > due:
+            index -= 1
+        lane.waiting.insert(index, request)
         lane.bucket.waiting += 1
         lane.bucket.client.waiting += 1
-        self.waiting[one.number] = waiter
-        self.waiting_by_pool[one.pool] += 1
-
-    def _unwait(self, waiter: WaitingRequest) -> None:
-        waiter.lane.waiting.remove(waiter)
-        waiter.lane.bucket.waiting -= 1
-        waiter.lane.bucket.client.waiting -= 1
-        del self.waiting[waiter.arrival.number]
-        self.waiting_by_pool[waiter.arrival.pool] -= 1
-        if not self.waiting_by_pool[waiter.arrival.pool]:
-            del self.waiting_by_pool[waiter.arrival.pool]
-        if not waiter.lane.bucket.waiting:
-            waiter.lane.bucket.turn_credits.clear()  # turns that nobody waited for are not kept
-
-    def _turn_away(self, now: float, waiter: WaitingRequest) -> None:
-        """It won't do: said at once, with when it will."""
-        self._unwait(waiter)
-        client = waiter.lane.bucket.client
+        self.waiting[arrival.number] = request
+        self.waiting_by_pool[arrival.pool] += 1
+
+    def _dequeue(self, request: WaitingRequest) -> None:
+        request.lane.waiting.remove(request)
+        request.lane.bucket.waiting -= 1
+        request.lane.bucket.client.waiting -= 1
+        del self.waiting[request.arrival.number]
+        self.waiting_by_pool[request.arrival.pool] -= 1
+        if not self.waiting_by_pool[request.arrival.pool]:
+            del self.waiting_by_pool[request.arrival.pool]
+        if not request.lane.bucket.waiting:
+            request.lane.bucket.turn_credits.clear()  # an idle bucket keeps no credit
+
+    def _reject_waiting(self, now: float, request: WaitingRequest) -> None:
+        """Reject a request that can't be admitted before its limit, without waiting for the limit."""
+        self._dequeue(request)
+        client = request.lane.bucket.client
         client.given_up += 1
-        self._quote(now, waiter.arrival, waiter.lane, waiter.reservation)
-        self._tidy(waiter.lane)
-
-    # Promises and quotes
-
-    def _promise(self, client: Client, one: Arrival, now: float) -> Reservation | None:
-        """The promise that this request makes good, if any, remembered or brought as a ticket."""
-        self._lapse(client, now)
-        promise = client.reservations.find(one.viewer, one.pool.class_name) or one.reservation
-        if promise is None or now > promise.expires_ms or not client.reservations.is_open(promise):
+        self._reject(now, request.arrival, request.lane, request.reservation)
+        self._remove_if_empty(request.lane)
+
+    # Reservations and estimates
+
+    def _valid_reservation(self, client: Client, arrival: Arrival, now: float) -> Reservation | None:
+        """The open reservation of this request, from the table or from its token."""
+        self._expire_reservations(client, now)
+        reservation = client.reservations.find(arrival.viewer, arrival.pool.class_name) or arrival.reservation
+        if (
+            reservation is None
+            or now > reservation.expires_ms
+            or not client.reservations.is_open(reservation)
+        ):
             return None
-        return promise
+        return reservation
 
-    def _lapse(self, client: Client, now: float) -> None:
-        for promise in client.reservations.expire(now):
+    def _expire_reservations(self, client: Client, now: float) -> None:
+        for reservation in client.reservations.expire(now):
             client.lapsed += 1
             client.claim_rate += (0.0 - client.claim_rate) * CLAIM_RATE_WEIGHT
-            self._uncount(client, promise)
+            self._remove_from_lane(client, reservation)
+
+    def _remove_from_lane(self, client: Client, reservation: Reservation | None) -> None:
+        if reservation is not None and (bucket := client.buckets.get(reservation.bucket)) is not None:
+            if (lane := bucket.lanes.get(reservation.pool)) is not None:
+                lane.reserved_ms.discard(reservation.due_ms)
+                self._remove_if_empty(lane)
 
-    def _uncount(self, client: Client, promise: Reservation | None) -> None:
-        if promise is not None and (bucket := client.buckets.get(promise.bucket)) is not None:
-            if (lane := bucket.lanes.get(promise.pool)) is not None:
-                lane.reserved_ms.discard(promise.due_ms)
-                self._tidy(lane)
+    def _reject(self, now: float, arrival: Arrival, lane: Lane, broken: Reservation | None = None) -> None:
+        """Reject with an estimate, and with a reservation if one can be made.
 
-    def _quote(self, now: float, one: Arrival, lane: Lane, broken: Reservation | None = None) -> None:
-        """Who came as he was told and is not let in stays ahead of all promises of his lane that are out."""
+        A viewer that returned on a reservation (`broken`) and is not admitted stays ahead of all open
+        reservations of its lane.
+        """
         client = lane.bucket.client
         client.rejected += 1
-        quote = max(self._wait_ms(now, lane, ESTIMATE_MARGIN, broken is not None), MIN_RETRY_AFTER_MS)
+        retry_after_ms = max(
+            self._estimated_wait_ms(now, lane, ESTIMATE_MARGIN, broken is not None), MIN_RETRY_AFTER_MS
+        )
         client.broken += broken is not None and broken.due_ms <= now
-        quote = math.ceil(quote / one.grain_ms) * one.grain_ms
-        if quote > self.max_retry_after_ms or len(lane.bucket.lanes) > MAX_LANES:
-            quote = min(quote, self.max_retry_after_ms)
+        retry_after_ms = math.ceil(retry_after_ms / arrival.retry_after_step_ms) * arrival.retry_after_step_ms
+        if retry_after_ms > self.max_retry_after_ms or len(lane.bucket.lanes) > MAX_LANES:
+            retry_after_ms = min(retry_after_ms, self.max_retry_after_ms)
             client.unreserved += 1
-            self.verdicts.append(Reject(one.number, quote, client.name))
+            self.verdicts.append(Reject(arrival.number, retry_after_ms, client.name))
             return
-        window = min(max(quote * WINDOW_FRACTION, MIN_WINDOW_MS), MAX_WINDOW_MS)
-        promise = client.reservations.create(one.viewer, one.bucket, one.pool, now, quote, window)
-        if promise is None:
+        window = min(max(retry_after_ms * WINDOW_FRACTION, MIN_WINDOW_MS), MAX_WINDOW_MS)
+        reservation = client.reservations.create(
+            arrival.viewer, arrival.bucket, arrival.pool, now, retry_after_ms, window
+        )
+        if reservation is None:
             client.unreserved += 1
         else:
             client.reserved += 1
-            lane.reserved_ms.add(promise.due_ms)
-        self.verdicts.append(Reject(one.number, quote, client.name, promise))
+            lane.reserved_ms.add(reservation.due_ms)
+        self.verdicts.append(Reject(arrival.number, retry_after_ms, client.name, reservation))
 
     # Forecasts
 
-    def _wait_ms(self, now: float, lane: Lane, spare: float = 1.0, first: bool = False) -> float:
-        """Until the next free place of a lane comes up; with `first`, the one behind those who wait.
+    def _estimated_wait_ms(
+        self, now: float, lane: Lane, margin: float = 1.0, before_reservations: bool = False
+    ) -> float:
+        """Time until the next free position of a lane is reached.
 
-        The place is the earliest that leaves each promise the time that it was told: up to any moment, no
-        more places than come up by then.  Promises count by the share of them that is claimed, as learned.
+        It is the earliest position that delays no open reservation: up to any moment, no more positions are
+        taken than are reached by then.  Reservations count by the client's claim rate.  With
+        `before_reservations`, it is the position right behind the waiting requests.
         """
-        ahead = self._places(lane) - len(lane.reserved_ms)
-        show = lane.bucket.client.claim_rate
-        gap = self._gap_ms(now, lane, max(1, int(ahead + show * len(lane.reserved_ms) + 1))) * spare
-        before = 0 if first else len(lane.reserved_ms)
-        while before and lane.reserved_ms[before - 1] - now >= (ahead + show * before + 1) * gap:
-            before -= 1
-        return (ahead + show * before + 1) * gap
-
-    def _places(self, lane: Lane) -> int:
-        """Places taken ahead of a newcomer: of his bucket and class, where they want the same room."""
+        ahead = self._positions_ahead(lane) - len(lane.reserved_ms)
+        claim_rate = lane.bucket.client.claim_rate
+        gap = self._gap_ms(now, lane, max(1, int(ahead + claim_rate * len(lane.reserved_ms) + 1))) * margin
+        reserved_ahead = 0 if before_reservations else len(lane.reserved_ms)
+        while (
+            reserved_ahead
+            and lane.reserved_ms[reserved_ahead - 1] - now >= (ahead + claim_rate * reserved_ahead + 1) * gap
+        ):
+            reserved_ahead -= 1
+        return (ahead + claim_rate * reserved_ahead + 1) * gap
+
+    def _positions_ahead(self, lane: Lane) -> int:
+        """Positions ahead of a new request: of its bucket and class, in pools that overlap with its own."""
         return sum(
             x.positions
             for x in lane.bucket.lanes.values()
             if x.pool.class_name == lane.pool.class_name and x.pool.overlaps(lane.pool, self.cells)
         )
 
-    def _gap_ms(self, now: float, lane: Lane, place: int) -> float:
-        """The time between two places of a lane on the way to one; kept for a while, and for near ones."""
+    def _gap_ms(self, now: float, lane: Lane, position: int) -> float:
+        """Time between two positions of a lane, on average up to one position.
+
+        Cached for a while, also for near positions.
+        """
         near = (
             NEAR_POSITION_RATIO * lane.forecast_position
-            <= place
+            <= position
             <= lane.forecast_position / NEAR_POSITION_RATIO
         )
         if not near or now - lane.forecast_ms >= FORECAST_INTERVAL_MS:
-            gap = self._forecast(now, lane, place)
+            gap = self._forecast_gap_ms(now, lane, position)
             lane.gap_ms = lane.gap_ms + (gap - lane.gap_ms) * FORECAST_SMOOTHING if near else gap
-            lane.forecast_ms, lane.forecast_position = now, place
+            lane.forecast_ms, lane.forecast_position = now, position
         return lane.gap_ms
 
-    def _forecast(self, now: float, lane: Lane, places: int) -> float:
-        """The time until a place of a lane comes up, over the places up to it.
+    def _forecast_gap_ms(self, now: float, lane: Lane, position: int) -> float:
+        """Time until a position of a lane is reached, divided by the position.
 
-        It comes up when departures suffice for all who go before it in fair order: each client, as far as it
-        wants room, up to the level that this lane's client will have reached by then.
+        It is reached when there have been enough departures for all admissions that precede it in fair order:
+        those of each client, as far as it has demand, up to the weighted share that the client of this lane
+        will have by then.
         """
-        leaving = self._curve(now, lane.pool)
-        want = self._rivals(now, lane, places)
+        departures = self._departures(now, lane.pool)
+        required = self._required_admissions(now, lane, position)
         low, high = 1.0, 4 * self.max_retry_after_ms
-        if want(high, leaving) > leaving.within(high):
-            return high / places
+        if required(high, departures) > departures.within(high):
+            return high / position
         for _ in range(SEARCH_STEPS):
             middle = math.sqrt(low * high)
-            if want(middle, leaving) > leaving.within(middle):
+            if required(middle, departures) > departures.within(middle):
                 low = middle
             else:
                 high = middle
-        return high / places
+        return high / position
 
-    def _rivals(self, now: float, lane: Lane, places: int) -> Callable[[float, DepartureCurve], float]:
-        """How many sessions, of all clients, have to be let in within a time until a lane's places are
-        reached."""
+    def _required_admissions(
+        self, now: float, lane: Lane, position: int
+    ) -> Callable[[float, DepartureCurve], float]:
+        """Function that returns how many admissions, of all clients, reach a position of a lane in a time."""
         bucket, client = lane.bucket, lane.bucket.client
-        held = sum(x.sessions for x in self.clients)
-        part = max(
+        session_count = sum(x.sessions for x in self.clients)
+        session_share = max(
             client.used_share / client.sessions
             if client.sessions
-            else sum(x.used_share for x in self.clients) / held
-            if held
+            else sum(x.used_share for x in self.clients) / session_count
+            if session_count
             else 0.0,
             1e-6,
         )
-        need = places / self._class_share(bucket, lane.pool.class_name)
-        beside = [
-            (x.used_share / part, self._backlog(x, lane.pool))
+        needed = position / self._expected_class_share(bucket, lane.pool.class_name)
+        siblings = [
+            (x.used_share / session_share, self._backlog(x, lane.pool))
             for x in client.buckets.values()
             if x is not bucket and x.lanes
         ]
-        rivals = [
+        others = [
             (
                 x.weight,
-                x.used_share / part,
+                x.used_share / session_share,
                 sum(self._backlog(y, lane.pool) for y in x.buckets.values()),
                 x.arrival_rate.per_ms(now),
             )
@@ -634,29 +698,31 @@
             if x is not client
         ]
 
-        def want(within_ms: float, leaving: DepartureCurve) -> float:
-            stays = 1.0 - min(1.0, leaving.within(within_ms) / max(leaving.playing, 1))
-            mine = bucket.used_share / part * stays + need
-            total = need + sum(min(backlog, max(0.0, mine - holding * stays)) for holding, backlog in beside)
-            level = (client.used_share / part * stays + total) / client.weight
-            for weight, holding, backlog, pace in rivals:
-                able = level * weight - holding * stays
-                if able > 0:
-                    total += min(able, backlog + pace * within_ms)
+        def required(within_ms: float, departures: DepartureCurve) -> float:
+            remaining = 1.0 - min(1.0, departures.within(within_ms) / max(departures.playing, 1))
+            own_used = bucket.used_share / session_share * remaining + needed
+            total = needed + sum(
+                min(backlog, max(0.0, own_used - used * remaining)) for used, backlog in siblings
+            )
+            level = (client.used_share / session_share * remaining + total) / client.weight
+            for weight, used, backlog, arrivals_per_ms in others:
+                below_level = level * weight - used * remaining
+                if below_level > 0:
+                    total += min(below_level, backlog + arrivals_per_ms * within_ms)
             return total
 
-        return want
+        return required
 
-    def _class_share(self, bucket: Bucket, name: str) -> float:
+    def _expected_class_share(self, bucket: Bucket, name: str) -> float:
         names = {name, *(x.pool.class_name for x in bucket.lanes.values() if x.positions)}
         urgency = {x: self._urgency(x, self.classes[x].limit_ms) for x in sorted(names)}
-        return self._floored(urgency)[name]
+        return self._shares_with_minimum(urgency)[name]
 
     def _backlog(self, bucket: Bucket, pool: Pool) -> float:
         return sum(x.positions for x in bucket.lanes.values() if x.pool.overlaps(pool, self.cells))
 
-    def _curve(self, now: float, pool: Pool) -> DepartureCurve:
-        """Departures from the boxes of a pool."""
+    def _departures(self, now: float, pool: Pool) -> DepartureCurve:
+        """Forecast of the departures from the media servers of a pool."""
         if now - self.exposure_updated_ms >= EXPOSURE_INTERVAL_MS:
             self.exposure_updated_ms = now
             for name, table in self.life_tables.items():
@@ -672,7 +738,7 @@
         if found is None or now - made_ms >= FORECAST_INTERVAL_MS:
             if len(self.curves) >= MAX_CACHED_POOLS:
                 self.curves.clear()
-            standing = [
+            playing = [
                 (
                     now - x.since_ms,
                     self.life_tables[x.pool.class_name].length_ms(x.hint_ms),
@@ -683,7 +749,7 @@
                 and (x.cell - pool.first_cell) % self.cells < pool.copies
                 and (not pool.title or x.pool == pool)
             ]
-            found = departure_curve(standing)
+            found = departure_curve(playing)
             self.curves[pool] = now, found
         return found
 
@@ -700,31 +766,33 @@
             found = bucket.lanes[pool] = Lane(bucket, pool)
         return found
 
-    def _tidy(self, lane: Lane) -> None:
-        """Guards against tables that grow: an empty lane and a bucket of nothing go."""
+    def _remove_if_empty(self, lane: Lane) -> None:
+        """Remove a lane without positions, then its bucket if empty, so that the tables stay bounded."""
         if not lane.positions and lane.bucket.lanes.get(lane.pool) is lane:
             del lane.bucket.lanes[lane.pool]
-        self._tidy_bucket(lane.bucket)
+        self._remove_bucket_if_empty(lane.bucket)
 
-    def _tidy_bucket(self, bucket: Bucket) -> None:
+    def _remove_bucket_if_empty(self, bucket: Bucket) -> None:
         if not bucket.lanes and bucket.used_share <= 1e-12:
             bucket.client.buckets.pop(bucket.number, None)
 
 
-def max_min(room: float, demands: list[float], weights: list[float]) -> list[float]:
-    """Shares of `room` by weighted max-min fairness (Bertsekas and Gallager, "Data Networks", 6.5.2)."""
-    given, left = [0.0] * len(demands), max(0.0, room)
-    wanting = sorted((x for x, y in enumerate(demands) if y > 0), key=lambda x: demands[x] / weights[x])
-    total = sum(weights[x] for x in wanting)
-    for at in wanting:
-        given[at] = min(demands[at], left * weights[at] / total)
-        left, total = left - given[at], total - weights[at]
-    return given
+def max_min(capacity: float, demands: list[float], weights: list[float]) -> list[float]:
+    """Divide `capacity` by weighted max-min fairness (Bertsekas and Gallager, "Data Networks", 6.5.2)."""
+    allocated, left = [0.0] * len(demands), max(0.0, capacity)
+    claimants = sorted((x for x, y in enumerate(demands) if y > 0), key=lambda x: demands[x] / weights[x])
+    total = sum(weights[x] for x in claimants)
+    for index in claimants:
+        allocated[index] = min(demands[index], left * weights[index] / total)
+        left, total = left - allocated[index], total - weights[index]
+    return allocated
 
 
 def fair_shares(clients: list[Client]) -> list[float]:
-    """Of what is held in all, the part due to each client now: who has nobody waiting wants no more than he
-    has."""
-    held = sum(x.used_share for x in clients)
-    wants = [math.inf if x.waiting or len(x.reservations) else x.used_share for x in clients]
-    return [x / (held or 1.0) for x in max_min(held, wants, [x.weight for x in clients])]
+    """The fraction of all used shares that each client should have now, in the order of `clients`.
+
+    A client without waiting requests and open reservations has no demand beyond what it uses.
+    """
+    used = sum(x.used_share for x in clients)
+    demands = [math.inf if x.waiting or len(x.reservations) else x.used_share for x in clients]
+    return [x / (used or 1.0) for x in max_min(used, demands, [x.weight for x in clients])]
--- a/cloverhinge/admission/reservation_tokens.py
+++ b/cloverhinge/admission/reservation_tokens.py
@@ -1,4 +1,4 @@
-"""Promises as signed words that a viewer may carry: no table is needed to believe them.  Free of I/O."""
+"""Reservations as signed tokens that a viewer may carry, verified without a table.  Free of I/O."""
 
 from __future__ import annotations
 
@@ -16,24 +16,29 @@
 
 
 class ReservationTokens:
-    """`serial.made.quote.window` in hex (ms), and 128 bits of an HMAC-SHA256 over them, the client, viewer
-    and class.
+    """Writes and verifies reservation tokens.
 
-    So a ticket is of use to the viewer, client and class alone that it was made for.
+    A token is the version, then `serial.made.quote.window` in hex (times in ms), then 128 bits of an
+    HMAC-SHA256 over these, the client, the viewer and the class.  So a token is valid only for the viewer,
+    client and class that it was made for.
     """
 
     def __init__(self, key: bytes, max_retry_after_ms: float) -> None:
         self.key = hashlib.sha256(b"cloverhinge ticket\0" + key).digest()
         self.max_retry_after_ms = max_retry_after_ms
 
-    def _sign(self, words: str, client: str, viewer: int, class_name: str) -> str:
-        told = f"{VERSION}.{words}/{client}/{viewer:x}/{class_name}"
-        return hmac.new(self.key, told.encode(), hashlib.sha256).hexdigest()[:32]
+    def _sign(self, payload: str, client: str, viewer: int, class_name: str) -> str:
+        message = f"{VERSION}.{payload}/{client}/{viewer:x}/{class_name}"
+        return hmac.new(self.key, message.encode(), hashlib.sha256).hexdigest()[:32]
 
-    def write(self, client: str, one: Reservation) -> str:
-        times = (one.made_ms, one.retry_after_ms, one.expires_ms - one.due_ms)
-        words = ".".join(f"{int(x):x}" for x in (one.serial, *times))
-        return f"{VERSION}.{words}.{self._sign(words, client, one.viewer, one.pool.class_name)}"
+    def write(self, client: str, reservation: Reservation) -> str:
+        """The token of a reservation; times are truncated to whole ms."""
+        times = (reservation.made_ms, reservation.retry_after_ms, reservation.expires_ms - reservation.due_ms)
+        payload = ".".join(f"{int(x):x}" for x in (reservation.serial, *times))
+        return (
+            f"{VERSION}.{payload}."
+            f"{self._sign(payload, client, reservation.viewer, reservation.pool.class_name)}"
+        )
 
     def read(
         self,
@@ -44,15 +49,18 @@
         bucket: int,
         pool: Pool,
     ) -> Reservation | None:
-        """None where it was not made here for this viewer, is cut, is over, or lies further ahead than any
-        may."""
-        found = TOKEN_PATTERN.fullmatch(text)
-        if found is None:
+        """The reservation of a token.
+
+        None where the token is malformed, forged or made for another viewer, client or class, and where the
+        reservation has expired or lies further ahead than `max_retry_after_ms`.
+        """
+        match = TOKEN_PATTERN.fullmatch(text)
+        if match is None:
             return None
-        words, signed = text[2:].rpartition(".")[::2]
-        if not hmac.compare_digest(signed, self._sign(words, client, viewer, pool.class_name)):
+        payload, signature = text[2:].rpartition(".")[::2]
+        if not hmac.compare_digest(signature, self._sign(payload, client, viewer, pool.class_name)):
             return None
-        serial, made, quote, window = (int(found[n], 16) for n in (1, 2, 3, 4))
+        serial, made, quote, window = (int(match[n], 16) for n in (1, 2, 3, 4))
         due = float(made + quote)
         if window > MAX_WINDOW_MS or not now - window <= due <= now + self.max_retry_after_ms:
             return None
--- a/cloverhinge/admission/reservations.py
+++ b/cloverhinge/admission/reservations.py
@@ -1,7 +1,7 @@
-"""Promises that are out, for one client: bounded, found by viewer, claimed once.  Free of I/O.
+"""The open reservations of one client: bounded, found by viewer, claimed once.  Free of I/O.
 
-A promise is a place in line with a time.  It is remembered by viewer; whoever carries its ticket can have it
-found even where it was forgotten (a restart), as long as it has not been claimed.
+A reservation is a position in the queue with a time.  It is stored by viewer.  A reservation token restores
+one that was lost in a restart, as long as it has not been claimed.
 """
 
 from __future__ import annotations
@@ -17,6 +17,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
+    """A time at which a viewer may return, made with a rejection; it can be claimed until `expires_ms`."""
+
     serial: int
     viewer: int
     bucket: int
@@ -24,43 +26,47 @@
     made_ms: float
     retry_after_ms: float
     due_ms: float
-    expires_ms: float  # it is lost after this
+    expires_ms: float
 
 
 class ReservationTable:
-    """At most `most` at a time, and at most `bucket_most` of one bucket."""
+    """Open reservations: at most `max_open`, and at most `max_per_bucket` of one bucket."""
 
     def __init__(self, max_open: int, max_per_bucket: int, first_serial: int = 1) -> None:
-        """Serials start at `first_serial`, which no earlier run has reached: tickets of those are told
-        apart."""
+        """Start serials at `first_serial`, which no earlier run has reached, to tell tokens of other runs."""
         self.max_open, self.max_per_bucket = max_open, max_per_bucket
         self.by_viewer: dict[tuple[int, str], Reservation] = {}
         self.by_serial: dict[int, Reservation] = {}
         self.count_by_bucket: dict[int, int] = {}
         self.by_expiry: SortedDict[tuple[float, int], Reservation] = SortedDict()
-        self.claimed_foreign: SortedDict[tuple[float, int], None] = SortedDict()  # of tickets of other runs
+        self.claimed_foreign: SortedDict[tuple[float, int], None] = SortedDict()  # from tokens of other runs
         self.first_serial, self.next_serial = first_serial, first_serial
 
     def __len__(self) -> int:
         return len(self.by_serial)
 
     def find(self, viewer: int, class_name: str) -> Reservation | None:
+        """The open reservation of a viewer for a class."""
         return self.by_viewer.get((viewer, class_name))
 
-    def is_open(self, promise: Reservation) -> bool:
-        """Not claimed yet: remembered, or told by a ticket of another run that none brought before."""
-        if self.first_serial <= promise.serial < self.next_serial:
-            return promise.serial in self.by_serial
-        return (promise.expires_ms, promise.serial) not in self.claimed_foreign and len(
+    def is_open(self, reservation: Reservation) -> bool:
+        """Whether it is not claimed yet.
+
+        A reservation of this run is open while it is stored.  One of another run is open until its token is
+        used here, and only while the table of used tokens has space.
+        """
+        if self.first_serial <= reservation.serial < self.next_serial:
+            return reservation.serial in self.by_serial
+        return (reservation.expires_ms, reservation.serial) not in self.claimed_foreign and len(
             self.claimed_foreign
         ) < self.max_open
 
-    def claim(self, promise: Reservation) -> Reservation | None:
-        """Take it out; None where it came by a ticket alone, and no place was counted for it."""
-        if promise.serial in self.by_serial:
-            self._remove(promise)
-            return promise
-        self.claimed_foreign[promise.expires_ms, promise.serial] = None
+    def claim(self, reservation: Reservation) -> Reservation | None:
+        """Remove it; None where it is known from a token only, so that no position was counted for it."""
+        if reservation.serial in self.by_serial:
+            self._remove(reservation)
+            return reservation
+        self.claimed_foreign[reservation.expires_ms, reservation.serial] = None
         return None
 
     def create(
@@ -72,7 +78,7 @@
         retry_after_ms: float,
         window_ms: float,
     ) -> Reservation | None:
-        """A new promise; None where the table or the bucket's part of it is full, or the viewer has one."""
+        """A new reservation; None where the table or the bucket's limit is full, or the viewer has one."""
         key = (viewer, pool.class_name)
         if (
             len(self) >= self.max_open
@@ -81,29 +87,29 @@
         ):
             return None
         due = now + retry_after_ms
-        promise = Reservation(
+        reservation = Reservation(
             self.next_serial, viewer, bucket, pool, now, retry_after_ms, due, due + window_ms
         )
         self.next_serial += 1
-        self.by_viewer[key] = self.by_serial[promise.serial] = promise
-        self.by_expiry[promise.expires_ms, promise.serial] = promise
+        self.by_viewer[key] = self.by_serial[reservation.serial] = reservation
+        self.by_expiry[reservation.expires_ms, reservation.serial] = reservation
         self.count_by_bucket[bucket] = self.count_by_bucket.get(bucket, 0) + 1
-        return promise
+        return reservation
 
     def expire(self, now: float) -> list[Reservation]:
-        """Those whose window is over; they are forgotten."""
-        gone: list[Reservation] = []
+        """Remove and return the reservations whose window is over."""
+        expired: list[Reservation] = []
         while self.by_expiry and self.by_expiry.peekitem(0)[0][0] < now:
-            gone.append(self.by_expiry.peekitem(0)[1])
-            self._remove(gone[-1])
+            expired.append(self.by_expiry.peekitem(0)[1])
+            self._remove(expired[-1])
         while self.claimed_foreign and self.claimed_foreign.peekitem(0)[0][0] < now:
             self.claimed_foreign.popitem(0)
-        return gone
-
-    def _remove(self, promise: Reservation) -> None:
-        del self.by_serial[promise.serial]
-        del self.by_expiry[promise.expires_ms, promise.serial]
-        self.by_viewer.pop((promise.viewer, promise.pool.class_name), None)
-        left = self.count_by_bucket.pop(promise.bucket) - 1
-        if left:
-            self.count_by_bucket[promise.bucket] = left
+        return expired
+
+    def _remove(self, reservation: Reservation) -> None:
+        del self.by_serial[reservation.serial]
+        del self.by_expiry[reservation.expires_ms, reservation.serial]
+        self.by_viewer.pop((reservation.viewer, reservation.pool.class_name), None)
+        remaining = self.count_by_bucket.pop(reservation.bucket) - 1
+        if remaining:
+            self.count_by_bucket[reservation.bucket] = remaining
--- a/tests/test_admission_network.py
+++ b/tests/test_admission_network.py
@@ -70,7 +70,9 @@
     tickets: list[str] = []
     for _ in range(2):
         with door(tmp_path, [Pump("s-00000000", 0)], key="") as program:
-            assert sum("tickets end with this run" in line for line in program.log) == 1
+            assert (
+                sum("reservation tokens are valid during this run only" in line for line in program.log) == 1
+            )
             viewer = program.connect()
             for number in range(1, 4):  # the third finds both places taken
                 setup(viewer, number)
