--- a/cloverhinge/admission/replicated_reservations.py
+++ b/cloverhinge/admission/replicated_reservations.py
@@ -53,7 +53,7 @@
         )
 
     def settle(self, reservation: Reservation, claimed: bool) -> None:
-        """End the record of a claimed reservation; otherwise let it stand until the reservation expires."""
+        """End the record of a claimed reservation; otherwise keep it until the reservation expires."""
         id = self._id(reservation)
         if claimed:
             self.part.end(id)
