--- a/cloverhinge/members/__init__.py
+++ b/cloverhinge/members/__init__.py
@@ -1,5 +1,6 @@
-"""Which routers are alive, agreed by all that can reach each other, and the small record that each publishes.
+"""Membership: the routers agree on which of them are alive, and each publishes a small record of facts.
 
-Decisions (`core.py`, `table.py`, `watch.py`) are free of I/O; `transport.py` holds the sockets.  May use
-core/ and site/'s model; must not know who builds on it (custody, failover), nor viewers, boxes and titles.
+The protocol logic (`core.py`, `table.py`, `watch.py`) does no I/O; `transport.py` owns the sockets.  This
+package may import core/ and the model of site/.  It must not depend on the packages built on it (ownership,
+failover) nor on clients, media servers and titles.
 """
--- a/cloverhinge/members/core.py
+++ b/cloverhinge/members/core.py
@@ -1,7 +1,8 @@
-"""Membership as a machine of events: a time and a message go in, messages and events come out.  Pure.
+"""The membership protocol as a state machine: it takes a time and a message, and returns actions.
 
-Nothing here waits, sends or reads a clock.  `due` is called every TICK_MS; whatever is called first after a
-pause notices it.  See docs/design/members.md for what is promised.
+Nothing here waits, sends or reads a clock.  The caller calls `tick` every TICK_MS; the first call after a
+pause of the process, whichever method it is, detects the pause.  docs/design/members.md describes the
+guarantees.
 """
 
 from __future__ import annotations
@@ -31,50 +32,46 @@
     WrongRun,
 )
 
-TICK_MS = 50.0  # pace of looking: an eighth of the time between questions
-SUSPECT_MS = 100.0  # unreached for so long: news that crossed have met by then
-MIN_PAUSE_MS = 300.0  # a tick so late was no jitter of the machine: this process slept
-MIN_LOGGED_PAUSE_MS = 1000.0  # pauses that the log tells; shorter ones are counted
-DISCOVER_INTERVAL_MS = 500.0  # between questions to addresses that are not members now
-JOIN_TIMEOUT_MS = 1000.0  # a starter that nobody answered for so long begins alone
-CONNECT_AFTER_PROBES = 1.5  # times the pace of questions: then a connection is tried
-CONNECT_INTERVAL_MS, CONNECT_RETRY_MS = 500.0, 120.0  # between connections tried; the second after a refusal
-SYNC_INTERVAL_MS = 1000.0  # between comparisons of a slice with a member drawn by lot
-SYNC_SLICE_NAMES = 32  # names in it: with their numbers some 800 bytes
-MAX_UPDATE_BYTES = 900  # of news in a datagram; the rest is room for its head
-GOSSIP_FANOUT = 3  # members that hear of urgent news at each tick
-REPEATS_PER_LOG2 = (
-    2  # news are told so often, times the logarithm of the members' number: e^-10 of 16 miss one
-)
-PUBLISH_MS_PER_MEMBER = (
-    25.0  # the pace of publishing is slower by this for each member: 40 facts a second in all
-)
-MIN_PUBLISH_INTERVAL_MS = 1000.0  # at least so long between two publications of facts
-FULL_SYNC_INTERVAL_MS = 1000.0  # between whole states to one member
-MAX_REPLAY_WINDOWS = 4096  # runs whose numbers are remembered: four lives of each of 1,024 members
-MAX_REPLIES_PER_S = 200.0  # answers a second to those who are not known: they may be forged or replayed
-PROOF_VALID_MS = 3000.0  # for so long an answer lets its sender's word on others count
-MAX_PROVEN_RUNS = 256  # runs, and welcomes sent, that are remembered for that
-MAX_PENDING_DISCOVERS = 128  # questions out to strangers: two rounds to the most addresses that may be named
-MAX_NAME_RECLAIMS = 3  # times that one other run takes this name back before it counts as living
-NAME_CONFLICT_RETRY_MS = 5000.0  # a router whose name is taken asks again after so long
+TICK_MS = 50.0  # interval of `tick`: an eighth of the default probe interval
+SUSPECT_MS = 100.0  # unreachable for so long, a member is suspect; updates in flight have arrived by then
+MIN_PAUSE_MS = 300.0  # a tick later than this was delayed by a pause of the process, not by scheduling jitter
+MIN_LOGGED_PAUSE_MS = 1000.0  # shorter pauses are only counted
+DISCOVER_INTERVAL_MS = 500.0  # between discover requests to addresses that are not members now
+JOIN_TIMEOUT_MS = 1000.0  # without an answer for so long, a starting router begins as the only member
+CONNECT_AFTER_PROBES = 1.5  # probe intervals without an answer after which a connection is tried
+CONNECT_INTERVAL_MS, CONNECT_RETRY_MS = 500.0, 120.0  # between connection attempts; the retry after a refusal
+SYNC_INTERVAL_MS = 1000.0  # between comparisons of a slice of names with a randomly drawn member
+SYNC_SLICE_NAMES = 32  # names per slice: about 800 bytes with their numbers
+MAX_UPDATE_BYTES = 900  # of records in a datagram; the rest is left for its header
+GOSSIP_FANOUT = 3  # members that are sent urgent updates at each tick
+REPEATS_PER_LOG2 = 2  # an update is passed on so often, times log2 of the member count: e^-10 of 16 miss one
+PUBLISH_MS_PER_MEMBER = 25.0  # added to the publish interval per member: 40 publications a second in all
+MIN_PUBLISH_INTERVAL_MS = 1000.0  # between two publications of facts
+FULL_SYNC_INTERVAL_MS = 1000.0  # between full syncs with one member
+MAX_REPLAY_WINDOWS = 4096  # runs whose message numbers are remembered: four runs of each of 1,024 members
+MAX_REPLIES_PER_S = 200.0  # to messages for other runs, which may be forged or replayed
+PROOF_VALID_MS = 3000.0  # after an answer, how long its sender's reports on other members count
+MAX_PROVEN_RUNS = 256  # remembered runs that answered, and remembered discover replies
+MAX_PENDING_DISCOVERS = 128  # two rounds to the maximum number of join addresses
+MAX_NAME_RECLAIMS = 3  # reclaims of this name by one other run after which that run counts as alive
+NAME_CONFLICT_RETRY_MS = 5000.0  # after which a router whose name is taken tries again
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What an installation sets: times in ms."""
+    """The membership settings of an installation; times in ms."""
 
-    probe_ms: float = 400.0  # between two questions to one member
-    quiet_ms: float = 1200.0  # unheard for so long, a member is not heard any more
-    out_ms: float = 2800.0  # reached by nobody for so long after that, it is out
-    watch: int = 6  # members that each one watches
+    probe_ms: float = 400.0  # between two pings to one member
+    quiet_ms: float = 1200.0  # unanswered for so long, a monitored member is not directly reachable
+    out_ms: float = 2800.0  # unreachable for so long after that, a member is declared dead
+    watch: int = 6  # how many members each one monitors
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """To an address, or (`back`) to where the message that is being handled came from."""
+    """Send a message to an address, or (None) to where the message being handled came from."""
 
     address: Address | None
     message: Message
@@ -82,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectProbe:
-    """Try a connection, and ask over it; `knocked` is to be told what came of it."""
+    """Try a TCP connection and send the ping over it; report its end to `connect_ended`."""
 
     name: str
     run: int
@@ -92,14 +89,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessPaused:
-    """This process slept for `ms`: what it believed of others and of itself may be over."""
+    """This process was paused for `ms`: its knowledge of other members and of itself may be outdated."""
 
     ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member came, went, came again or is under suspicion; `view` is what holds now."""
+    """A member joined, ended, returned or is suspect; `view` is the resulting view."""
 
     name: str
     change: str  # joined, returned, restarted, suspect, heard, dead, left
@@ -110,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationVoided:
-    """Others held this router for dead: it goes on as a new incarnation, and what it owned is void."""
+    """Other members declared this router dead: it continues as a new incarnation and lost all it owned."""
 
     incarnation: int
     reason: str
@@ -118,13 +115,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
+    """A line for the log, as information or as an error."""
+
     text: str
     error: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ComponentMessageReceived:
-    """One run of a member's said this to a part that is built on membership."""
+    """A run of another member sent this to a component that is built on membership."""
 
     name: str
     run: int
@@ -145,6 +144,8 @@
 
 @dataclass(slots=True)
 class Counters:
+    """Counters since the start, shown in the status."""
+
     sent: int = 0
     received: int = 0
     replayed: int = 0
@@ -159,25 +160,28 @@
 
 @dataclass(slots=True)
 class MemberInfo:
-    """What is noted of a member beside its record."""
+    """What this router notes about a member in addition to its record."""
 
     since_ms: float
-    unreachable_since_ms: float | None = None  # since when it has been reached by nobody from here
+    unreachable_since_ms: float | None = None  # None while it is reachable from here
     suspect: bool = False
-    death_claim: Record | None = None  # said to be dead by somebody, while it is reached from here
+    death_claim: Record | None = None  # a DEAD record from another member, while it is reachable from here
     death_claim_sent_ms: float = 0.0
-    full_sync_ms: float = -1e12  # when it was last asked for everything
-    differs_since_ms: float | None = None  # since when its view has been another one
+    full_sync_ms: float = -1e12  # when the last full sync was requested from it
+    differs_since_ms: float | None = None  # since when its digest has differed from this router's
 
 
 def evict_oldest(table: OrderedDict[Any, Any], max_entries: int) -> None:
-    """The oldest entries give way."""
+    """Removes the oldest entries until at most `max_entries` remain."""
     while len(table) > max_entries:
         table.popitem(last=False)
 
 
 class Membership:
-    """One router's membership.  `run` tells its starts apart, `seed` spreads its timers."""
+    """The membership of one router.
+
+    `run` distinguishes the starts of the process; `seed` spreads the timers of different routers.
+    """
 
     def __init__(
         self,
@@ -201,67 +205,70 @@
         self.own_record = Record(name, 1, run, State.ALIVE, 0, *address, site)
         self.joined = False
         self.left = False
-        self.had_earlier_run = False  # others remember an earlier run of this name
-        self.name_conflict_until_ms = -1e12  # its name is taken until then
-        self.resync_until_ms = -1e12  # after a pause: nobody is accused before
+        self.had_earlier_run = False  # other members have a record of an earlier run of this name
+        self.name_conflict_until_ms = -1e12  # another router has the name; no join before then
+        self.resync_until_ms = -1e12  # after a pause: no member is suspected before then
         self.received_since_pause = True
         self._actions: list[Action] = []
         self._number = 0
         self._started_ms = self._last_ms = self._next_discover_ms = self._next_sync_ms = (
             self._published_ms
         ) = 0.0
-        self._pending_discovers: OrderedDict[int, Address] = OrderedDict()  # by nonce, whom it asked
+        self._pending_discovers: OrderedDict[int, Address] = OrderedDict()  # by nonce, the address asked
         self._next_slice = ""
-        self._pending_facts: bytes | None = None  # waiting for its turn
+        self._pending_facts: bytes | None = None  # to be published next
         self._reply_budget_used = 0.0
         self._reply_budget_ms = 0.0
         self._reachable: set[str] = {name}
         self._reachability_dirty = True
         self._monitors_dirty = False
         self._gossip_due = False
-        self._first_incarnation = 1  # the incarnation to begin with
+        self._first_incarnation = 1  # the incarnation that it joins with
         self._duplicate_address: Address | None = None
-        self._reclaiming_run, self._reclaims = 0, 0  # a run that claims this name again and again
-        self._logged_duplicate_run = 0  # the run of that name that the log has told of
-        self._starting_addresses: set[Address] = (
-            set()
-        )  # of the addresses to join: those who are only starting, too
-        self._unreachable: set[str] = set()  # members that are not reached, or are under suspicion
-        self._disputed: set[str] = set()
-        self._leave_targets: list[str] = []  # who is told, and told again, that this router leaves
-        self._proven_until_ms: OrderedDict[int, float] = (
-            OrderedDict()
-        )  # runs that answered, until when it counts
-        self._sent_discover_replies: OrderedDict[int, int] = (
-            OrderedDict()
-        )  # numbers of those sent, and to which run
+        self._reclaiming_run, self._reclaims = 0, 0  # another run claiming this name, and how often
+        self._logged_duplicate_run = 0  # the run of the same name that was last logged
+        self._starting_addresses: set[Address] = set()  # join addresses whose routers have not joined either
+        self._unreachable: set[str] = set()  # members that are unreachable or suspect
+        self._disputed: set[str] = set()  # members with a death claim
+        self._leave_targets: list[str] = []  # members that are told, and told again, that this router leaves
+        self._proven_until_ms: OrderedDict[int, float] = OrderedDict()  # by run that answered
+        self._sent_discover_replies: OrderedDict[int, int] = OrderedDict()  # by number, the receiving run
         self._duplicate_until_ms = 0.0
 
-    # What may be asked at any time
+    # Queries
 
     def view(self) -> View:
+        """Returns the current view."""
         return self.table.view()
 
     @property
     def trusted(self) -> bool:
-        """Whether this process has heard from others since it last slept (alone: that it is awake)."""
+        """Whether the process has received messages since its last pause, and the time for resync is over.
+
+        A router that monitors no members needs no messages.
+        """
         return self.received_since_pause and self._last_ms >= self.resync_until_ms
 
     def state(self, name: str) -> str:
+        """Returns alive, suspect, dead or left; raises KeyError for an unknown name."""
         record = self.table.records[name]
         if record.state is not State.ALIVE:
             return record.state.name.lower()
         return "suspect" if self.member_info[name].suspect else "alive"
 
     def split_observers(self, name: str) -> tuple[list[str], list[str]]:
-        """Who of those that watch it hear it, and who of them do not (as far as they can be reached)."""
-        told = [x for x in sorted(self._watch_relation(name)[1]) if x in self._reachable]
-        heard = [x for x in told if name in self.table.records[x].reachable]
-        return heard, [x for x in told if x not in heard]
+        """Returns the observers that reach the member directly, and those that do not.
+
+        Observers that are not reachable from here are left out.
+        """
+        observers = [x for x in sorted(self._watch_relation(name)[1]) if x in self._reachable]
+        reaching = [x for x in observers if name in self.table.records[x].reachable]
+        return reaching, [x for x in observers if x not in reaching]
 
     # Events
 
     def start(self, now: float) -> list[Action]:
+        """Begins to join; without join addresses the router is the only member at once."""
         self._started_ms = self._last_ms = self._reply_budget_ms = self._published_ms = now
         self._next_discover_ms = now + self.random.uniform(0.0, TICK_MS)
         self._next_sync_ms = now + self.random.uniform(0.5, 1.5) * SYNC_INTERVAL_MS
@@ -270,14 +277,19 @@
         return self._take_actions()
 
     def check_pause(self, now: float) -> list[Action]:
-        """To be asked before anything that rests on membership is done: it tells of a pause at once."""
+        """Detects a pause of the process; to be called before any action that depends on membership."""
         self._detect_pause(now)
         return self._take_actions()
 
     def publish(self, now: float, facts: bytes) -> list[Action]:
-        """At most FACTS_MOST bytes, told at the pace that the number of members allows; the newest counts."""
+        """Publishes facts at the rate that the number of members allows; newer ones replace waiting ones.
+
+        Raises ValueError if they exceed MAX_FACTS_BYTES.
+        """
         if len(facts) > wire.MAX_FACTS_BYTES:
-            raise ValueError(f"facts of {len(facts)} bytes, {wire.MAX_FACTS_BYTES} at most")
+            raise ValueError(
+                f"facts of {len(facts)} bytes exceed the maximum of {wire.MAX_FACTS_BYTES} bytes"
+            )
         self._detect_pause(now)
         self._pending_facts = facts if facts != self.own_record.facts else None
         return self._take_actions()
@@ -285,7 +297,7 @@
     def send_component_message(
         self, now: float, name: str, run: int, component: str, body: bytes
     ) -> list[Action]:
-        """Sends what a part says to that run of a member's; nothing where it is not known."""
+        """Sends a component's message to that run of a member; does nothing if the run is not known."""
         self._detect_pause(now)
         record = self.table.records.get(name)
         if record is not None and record.run == run:
@@ -293,7 +305,7 @@
         return self._take_actions()
 
     def leave(self, now: float) -> list[Action]:
-        """A planned end: the others are told now, and once more at each tick while it is called `due`."""
+        """Announces a planned end to all neighbours now, and to some of them again at each following tick."""
         self._detect_pause(now)
         if self.joined and not self.left:
             self._leave_targets = self._neighbours()
@@ -304,6 +316,7 @@
         return self._take_actions()
 
     def tick(self, now: float) -> list[Action]:
+        """Does the periodic work; to be called every TICK_MS."""
         self._detect_pause(now)
         if self.left:
             for name in self._sample_fanout(self._leave_targets):
@@ -328,7 +341,7 @@
         return self._take_actions()
 
     def receive(self, now: float, message: wire.AnyMessage, source: Address | None = None) -> list[Action]:
-        """A message that was signed as it has to be; `came` is where it came from, for the log."""
+        """Handles a verified message; `source` is the address that it came from, for the log."""
         self._detect_pause(now)
         self.counters.received += 1
         if message.run == self.run or self.left and not isinstance(message, ComponentMessage):
@@ -381,18 +394,21 @@
         return self._take_actions()
 
     def connect_ended(self, now: float, name: str, run: int, sent_ms: float, refused: bool) -> list[Action]:
-        """What became of a connection: refused (nobody listens), or silence.  Answers are `received`."""
+        """Handles the end of a connection attempt: refused (no process listens), or timed out.
+
+        Answers over the connection go to `receive`.
+        """
         self._detect_pause(now)
-        watch, record = self.monitors.get(name), self.table.records.get(name)
-        if watch is not None and record is not None and record.run == run:
-            watch.connecting = False
+        monitor, record = self.monitors.get(name), self.table.records.get(name)
+        if monitor is not None and record is not None and record.run == run:
+            monitor.connecting = False
             if (
                 refused
-                and (watch.answered_ms is None or watch.answered_ms < sent_ms)
+                and (monitor.answered_ms is None or monitor.answered_ms < sent_ms)
                 and not self._resyncing(now)
             ):
-                watch.record_refusal(now)
-                watch.next_connect_ms = now + CONNECT_RETRY_MS
+                monitor.record_refusal(now)
+                monitor.next_connect_ms = now + CONNECT_RETRY_MS
                 self._update_reachable(now)
                 if self._gossip_due:
                     self._gossip_due = False
@@ -402,23 +418,23 @@
     # Pauses
 
     def _detect_pause(self, now: float) -> None:
-        late = now - self._last_ms - TICK_MS
+        pause_ms = now - self._last_ms - TICK_MS
         self._last_ms = max(now, self._last_ms)
-        if late < MIN_PAUSE_MS:
+        if pause_ms < MIN_PAUSE_MS:
             return
         self.counters.pauses += 1
-        self.counters.paused_ms += late
-        for watch in self.monitors.values():
-            watch.credit_pause(late)
-        for known in self.member_info.values():
-            if known.unreachable_since_ms is not None:
-                known.unreachable_since_ms += late
+        self.counters.paused_ms += pause_ms
+        for monitor in self.monitors.values():
+            monitor.credit_pause(pause_ms)
+        for info in self.member_info.values():
+            if info.unreachable_since_ms is not None:
+                info.unreachable_since_ms += pause_ms
         self.resync_until_ms = now + 2.0 * self.rules.probe_ms
         self.received_since_pause = not self.monitors
-        self._actions.append(ProcessPaused(late))
-        if late >= MIN_LOGGED_PAUSE_MS:
+        self._actions.append(ProcessPaused(pause_ms))
+        if pause_ms >= MIN_LOGGED_PAUSE_MS:
             self._actions.append(
-                LogLine(f"this process slept for {late:.0f} ms: nobody is accused of that time")
+                LogLine(f"process was paused for {pause_ms:.0f} ms; no member is suspected for that time")
             )
         for name in self._sample_fanout(sorted(self.monitors)):
             self._request_full_sync(now, self.table.records[name])
@@ -426,7 +442,7 @@
     def _resyncing(self, now: float) -> bool:
         return now < self.resync_until_ms
 
-    # Coming in
+    # Joining
 
     def _try_to_join(self, now: float) -> None:
         if now < self.name_conflict_until_ms:
@@ -437,7 +453,7 @@
                 self._become_member(now)
         elif now - max(self._started_ms, self.name_conflict_until_ms) >= JOIN_TIMEOUT_MS:
             self._actions.append(
-                LogLine("nobody answered at the addresses to join: begins alone, goes on trying")
+                LogLine("no join address answered; starting as the only member and still trying")
             )
             self._become_member(now)
 
@@ -466,18 +482,21 @@
                     self._starting_addresses.issuperset(self.join_addresses)
                     and self._duplicate_address is None
                 ):
-                    self._become_member(now)  # all start at once: nobody is there to be asked
+                    self._become_member(now)  # all routers are starting: there is no member to ask
                 return
-            held = message.about_receiver
+            previous = message.about_receiver
             if (
-                held is not None
-                and held.state is State.ALIVE
-                and held.address != self.address
-                and held.run != self.run
+                previous is not None
+                and previous.state is State.ALIVE
+                and previous.address != self.address
+                and previous.run != self.run
             ):
-                if self._duplicate_address is None:  # does whoever has this name still live there?
-                    self._duplicate_address, self._duplicate_until_ms = held.address, now + JOIN_TIMEOUT_MS
-                    self._send_discover_request(held.address)
+                if self._duplicate_address is None:  # first check whether that router is still alive
+                    self._duplicate_address, self._duplicate_until_ms = (
+                        previous.address,
+                        now + JOIN_TIMEOUT_MS,
+                    )
+                    self._send_discover_request(previous.address)
                 return
             if self._duplicate_address is None:
                 self._become_member(now)
@@ -485,31 +504,35 @@
             return
         self._mark_proven(now, message.run)
         self._apply_all(now, [x for x in (message.own, message.about_receiver) if x is not None])
-        held = self.table.records.get(message.sender)
-        if message.own is not None and held is not None:
-            self._request_full_sync(now, held, message.run, message.number)
+        current = self.table.records.get(message.sender)
+        if message.own is not None and current is not None:
+            self._request_full_sync(now, current, message.run, message.number)
 
     def _name_conflict_ignored(self, message: wire.AnyMessage) -> bool:
-        """Guards against two of one name that each give way to the other: who is no member puts no member
-        out, and of two that are none the higher run goes on.  A stray tells of no membership."""
+        """Whether a message from a router of the same name is no reason to give way.
+
+        This prevents two routers of one name from each giving way to the other: a router that is not a member
+        never displaces a member, and of two that are not, the higher run continues.  A WrongRun message says
+        nothing about membership.
+        """
         if isinstance(message, DiscoverReply) and not message.joined:
             return self.joined or message.run < self.run
         return isinstance(message, WrongRun)
 
-    def _resolve_name_conflict(self, now: float, run: int, came: Address | None) -> None:
-        """Another living process has this name.  The one that came later, or has the lower run, gives way."""
+    def _resolve_name_conflict(self, now: float, run: int, source: Address | None) -> None:
+        """Another running process has this name: the one that came later, or has the lower run, gives way."""
         if now < self.name_conflict_until_ms:
             return
-        where = "" if came is None else f" (at {came[0]}:{came[1]})"
+        where = "" if source is None else f" (at {source[0]}:{source[1]})"
         if self.joined and run < self.run:
             self._actions.append(
-                LogLine(f"another router calls itself {self.name} too{where}: it gives way", True)
+                LogLine(f"another router uses the name {self.name} too{where}; it has to give way", True)
             )
             return
         self._actions.append(
             LogLine(
-                f"the name {self.name} is another living router's{where}: stays out of the "
-                f"members, and asks again in {NAME_CONFLICT_RETRY_MS / 1000:.0f} s",
+                f"the name {self.name} is already used by another running router{where}; "
+                f"staying out of the membership and retrying in {NAME_CONFLICT_RETRY_MS / 1000:.0f} s",
                 True,
             )
         )
@@ -526,10 +549,10 @@
             set(),
             set(),
         )
-        self._actions.append(IncarnationVoided(0, "its name is another's"))
+        self._actions.append(IncarnationVoided(0, "another router has its name"))
 
     def _discover(self) -> None:
-        """To the seeds while joining; then to one address by lot of those that are not members now."""
+        """Sends discover requests: while joining to all join addresses, later to a random non-member."""
         if not self.joined:
             targets = list(self.join_addresses)
             if self._duplicate_address is not None:
@@ -539,7 +562,7 @@
             gone = {x.address: x for x in self.table.records.values() if x.state is State.DEAD}
             targets = [x for x in dict.fromkeys([*self.join_addresses, *gone]) if x not in members]
             targets = [self.random.choice(targets)] if targets else []
-            if targets and targets[0] in gone:  # it may hear, and not be heard: then it learns of it
+            if targets and targets[0] in gone:  # one that only receives learns that it is dead
                 self._send(gone[targets[0]], Update(records=[gone[targets[0]]]))
         for address in targets:
             self._send_discover_request(address)
@@ -553,7 +576,10 @@
         )
 
     def _handle_other_run(self, now: float, message: wire.AnyMessage) -> None:
-        """Not said to this run: it may be old, or replayed.  It is answered within a bound, and no more."""
+        """Handles a message for another run.
+
+        It may be old or replayed, so the rate of answers is limited and nothing else follows from it.
+        """
         self._reply_budget_used = max(
             0.0, self._reply_budget_used - (now - self._reply_budget_ms) * MAX_REPLIES_PER_S / 1000.0
         )
@@ -566,7 +592,9 @@
             if message.sender == self.name and self.joined and message.run != self._logged_duplicate_run:
                 self._logged_duplicate_run = message.run
                 where = f"{message.host}:{message.port}"
-                self._actions.append(LogLine(f"another router calls itself {self.name}, at {where}", True))
+                self._actions.append(
+                    LogLine(f"another router uses the name {self.name} too, at {where}", True)
+                )
             self._reply(
                 message,
                 DiscoverReply(
@@ -583,21 +611,21 @@
             self._reply(message, WrongRun(message_number=message.number))
 
     def _handle_wrong_run(self, now: float, message: WrongRun) -> None:
-        """Where a member's run was, another one is: that run is over."""
-        watch, record = self.monitors.get(message.sender), self.table.records.get(message.sender)
+        """Another run answered at a member's address: the monitored run has ended."""
+        monitor, record = self.monitors.get(message.sender), self.table.records.get(message.sender)
         if (
-            watch is None
+            monitor is None
             or record is None
-            or message.message_number not in watch.pending_pings
+            or message.message_number not in monitor.pending_pings
             or record.run == message.run
         ):
             return
         self._send_discover_request(record.address)
-        while not watch.refusing:
-            watch.record_refusal(now)
+        while not monitor.refusing:
+            monitor.record_refusal(now)
         self._update_reachable(now)
 
-    # News
+    # Updates
 
     def _is_fresh(self, message: wire.AnyMessage) -> bool:
         window = self.replay_windows.get(message.run)
@@ -609,61 +637,65 @@
         return window.accept(message.number)
 
     def _mark_proven(self, now: float, run: int) -> None:
-        """Both directions to that run work, so its word counts for a while."""
+        """Both directions to that run work, so its reports count for PROOF_VALID_MS."""
         self._proven_until_ms.pop(run, None)
         self._proven_until_ms[run] = now + PROOF_VALID_MS
         evict_oldest(self._proven_until_ms, MAX_PROVEN_RUNS)
 
     def _merge(self, now: float, message: Ping | Ack | SyncRequest | Update) -> None:
-        """Who hears nobody holds all others for dead: his word on that is taken only where he is heard."""
+        """Applies the records of a message.
+
+        A member that receives nothing takes all others for dead, so DEAD records are accepted only from a
+        sender that is reachable or has answered recently.
+        """
         believed = self._proven_until_ms.get(message.run, -1e12) >= now or message.sender in self._reachable
         if not believed and len(self._reachable) > 1:
             self._apply_all(now, [x for x in message.records if x.state is not State.DEAD])
         else:
             self._apply_all(now, message.records)
 
-    def _apply_all(self, now: float, news: list[Record]) -> None:
+    def _apply_all(self, now: float, records: list[Record]) -> None:
         if not self.joined or self.left:
             return
-        for record in news:
+        for record in records:
             if record.name == self.name:
                 self._refute(now, record)
             elif self.table.supersedes(record):
                 self._apply(now, record)
 
-    def _refute(self, now: float, told: Record) -> None:
-        """What is said of this router by others: only its own run may speak for it."""
+    def _refute(self, now: float, claim: Record) -> None:
+        """Handles a record of this router from another member; only its own run may change its record."""
         if (
-            told.run == self.run
-            and told.state is State.ALIVE
-            or told.incarnation < self.own_record.incarnation
+            claim.run == self.run
+            and claim.state is State.ALIVE
+            or claim.incarnation < self.own_record.incarnation
         ):
             return
-        if told.run != self.run:
+        if claim.run != self.run:
             self.had_earlier_run = True
-            if told.state is State.ALIVE and told.address != self.address:
-                self._reclaims = self._reclaims + 1 if told.run == self._reclaiming_run else 1
-                self._reclaiming_run = told.run
+            if claim.state is State.ALIVE and claim.address != self.address:
+                self._reclaims = self._reclaims + 1 if claim.run == self._reclaiming_run else 1
+                self._reclaiming_run = claim.run
                 if self._reclaims >= MAX_NAME_RECLAIMS:
                     self._reclaims = 0
-                    self._resolve_name_conflict(now, told.run, told.address)
+                    self._resolve_name_conflict(now, claim.run, claim.address)
                     if not self.joined:
                         return
-            self._set_own(now, incarnation=told.incarnation + 1)
+            self._set_own(now, incarnation=claim.incarnation + 1)
             return
-        self._set_own(now, incarnation=told.incarnation + 1)
+        self._set_own(now, incarnation=claim.incarnation + 1)
         self.counters.accused += 1
-        self._actions.append(IncarnationVoided(self.own_record.incarnation, told.state_reason))
+        self._actions.append(IncarnationVoided(self.own_record.incarnation, claim.state_reason))
         self._actions.append(
             LogLine(
-                f"was held for dead ({told.state_reason}): "
-                f"goes on as incarnation {self.own_record.incarnation}"
+                f"was declared dead by other members ({claim.state_reason}); "
+                f"continuing as incarnation {self.own_record.incarnation}"
             )
         )
 
     def _apply(self, now: float, record: Record) -> None:
-        held = self.table.records.get(record.name)
-        if held is None:
+        current = self.table.records.get(record.name)
+        if current is None:
             self._store(
                 now,
                 record,
@@ -671,51 +703,55 @@
                 record.state_reason or "by its own word",
             )
             return
-        alive = held.state is State.ALIVE
+        alive = current.state is State.ALIVE
         if record.state is State.ALIVE:
-            what = ""
-            if held.incarnation != record.incarnation:
-                what = "restarted" if held.run != record.run else "returned"
-            self._store(now, record, what, "by its own word")
+            change = ""
+            if current.incarnation != record.incarnation:
+                change = "restarted" if current.run != record.run else "returned"
+            self._store(now, record, change, "by its own word")
             return
         if (
             alive
             and record.state is State.DEAD
-            and record.incarnation == held.incarnation
+            and record.incarnation == current.incarnation
             and record.name in self._reachable
         ):
-            # It is heard here, so the word is old or from the far side of a cut: it is told, and may object.
-            known = self.member_info[record.name]
-            if known.death_claim is None:
-                known.death_claim, known.death_claim_sent_ms = record, -1e12
+            # It is reachable here, so the claim is outdated or comes from across a partition: the member is
+            # told of it and may refute it.
+            info = self.member_info[record.name]
+            if info.death_claim is None:
+                info.death_claim, info.death_claim_sent_ms = record, -1e12
                 self._disputed.add(record.name)
             return
         self._store(now, record, record.state.name.lower(), record.state_reason)
 
-    def _store(self, now: float, record: Record, what: str, reason: str) -> None:
-        held = self.table.records.get(record.name)
+    def _store(self, now: float, record: Record, change: str, reason: str) -> None:
+        current = self.table.records.get(record.name)
         if not self.table.put(record):
             return
         self.counters.news += 1
-        known = self.member_info.get(record.name)
-        if known is None:
-            known = self.member_info[record.name] = MemberInfo(now)
-        if what:
-            known.since_ms = now
-            known.death_claim = None
-            if record.state is not State.ALIVE or what in ("restarted", "returned", "joined"):
-                known.unreachable_since_ms, known.suspect = None, False
-            if what == "restarted":
-                self.monitors.pop(record.name, None)  # nothing of the old run counts for the new one
+        info = self.member_info.get(record.name)
+        if info is None:
+            info = self.member_info[record.name] = MemberInfo(now)
+        if change:
+            info.since_ms = now
+            info.death_claim = None
+            if record.state is not State.ALIVE or change in ("restarted", "returned", "joined"):
+                info.unreachable_since_ms, info.suspect = None, False
+            if change == "restarted":
+                self.monitors.pop(record.name, None)  # nothing known of the old run applies to the new one
             self._actions.append(
-                MemberChanged(record.name, what, reason, record.incarnation, self.table.view())
+                MemberChanged(record.name, change, reason, record.incarnation, self.table.view())
             )
-        if held is None or held.reachable != record.reachable or held.refused != record.refused or what:
+        if (
+            current is None
+            or current.reachable != record.reachable
+            or current.refused != record.refused
+            or change
+        ):
             self._gossip_due = self._reachability_dirty = True
-        if what:
-            self._monitors_dirty = (
-                True  # at the next tick, once for all that came: rings of 400 names take 3 ms
-            )
+        if change:
+            self._monitors_dirty = True  # done once per tick, since the rings of 400 names take 3 ms
 
     def _update_monitors(self, now: float) -> None:
         self._monitors_dirty = False
@@ -728,69 +764,72 @@
 
     def _set_own(self, now: float, **changed: object) -> None:
         number = self.own_record.number + 1
-        was = self.own_record
+        previous = self.own_record
         self.own_record = msgspec.structs.replace(self.own_record, number=number, **changed)
-        what = "" if was.incarnation == self.own_record.incarnation else "returned"
+        change = "" if previous.incarnation == self.own_record.incarnation else "returned"
         if self.own_record.state is State.LEFT:
-            what = "left"
-        self._store(now, self.own_record, what, self.own_record.state_reason or "by its own word")
+            change = "left"
+        self._store(now, self.own_record, change, self.own_record.state_reason or "by its own word")
 
     def _publish_facts(self, now: float) -> None:
-        pace = max(MIN_PUBLISH_INTERVAL_MS, PUBLISH_MS_PER_MEMBER * len(self.table.names))
-        if self._pending_facts is not None and now - self._published_ms >= pace:
+        interval_ms = max(MIN_PUBLISH_INTERVAL_MS, PUBLISH_MS_PER_MEMBER * len(self.table.names))
+        if self._pending_facts is not None and now - self._published_ms >= interval_ms:
             self._published_ms = now
             self._set_own(now, facts=self._pending_facts)
             self._pending_facts = None
 
     def _next_updates(self) -> list[Record]:
-        times = REPEATS_PER_LOG2 * max(1, len(self.table.names).bit_length())
-        return self.table.take_updates(MAX_UPDATE_BYTES, times)
+        repeats = REPEATS_PER_LOG2 * max(1, len(self.table.names).bit_length())
+        return self.table.take_updates(MAX_UPDATE_BYTES, repeats)
 
     def _watch_relation(self, name: str) -> tuple[frozenset[str], frozenset[str]]:
-        """Those that a member watches, and those that watch it."""
+        """The members that a member monitors, and those that monitor it."""
         return watch_relations(self.table.names, self.rules.watch).get(name, (frozenset(), frozenset()))
 
     def _neighbours(self) -> list[str]:
-        """Those that it watches and those that watch it."""
-        watched, watching = self._watch_relation(self.name)
-        return sorted(watched | watching)
+        """All members that it monitors or that monitor it."""
+        monitored, observers = self._watch_relation(self.name)
+        return sorted(monitored | observers)
 
     def _sample_fanout(self, names: list[str]) -> list[str]:
         return self.random.sample(names, min(GOSSIP_FANOUT, len(names)))
 
     def _gossip(self) -> None:
         for name in self._sample_fanout(self._neighbours()):
-            news = self._next_updates()
-            if news:
-                self._send(self.table.records[name], Update(records=news))
+            records = self._next_updates()
+            if records:
+                self._send(self.table.records[name], Update(records=records))
 
-    # Both hold the same?
+    # Comparing records
 
     def _compare_digest(self, now: float, message: Ping | Ack) -> None:
-        """Views that differ for longer than news take: what one has goes to the other, at a pace."""
-        record, known = self.table.records.get(message.sender), self.member_info.get(message.sender)
-        if record is None or known is None or record.run != message.run:
+        """Requests a full sync, at a limited rate, if the views differ for longer than updates take."""
+        record, info = self.table.records.get(message.sender), self.member_info.get(message.sender)
+        if record is None or info is None or record.run != message.run:
             return
         if message.digest == self.table.digest:
-            known.differs_since_ms = None
-        elif known.differs_since_ms is None:
-            known.differs_since_ms = now
-        elif now - known.differs_since_ms >= FULL_SYNC_INTERVAL_MS:
+            info.differs_since_ms = None
+        elif info.differs_since_ms is None:
+            info.differs_since_ms = now
+        elif now - info.differs_since_ms >= FULL_SYNC_INTERVAL_MS:
             self._request_full_sync(now, record)
 
-    def _request_full_sync(self, now: float, record: Record, run: int = 0, of: int = 0) -> None:
-        known = self.member_info[record.name]
-        if now - known.full_sync_ms < FULL_SYNC_INTERVAL_MS:
+    def _request_full_sync(self, now: float, record: Record, run: int = 0, reply_number: int = 0) -> None:
+        info = self.member_info[record.name]
+        if now - info.full_sync_ms < FULL_SYNC_INTERVAL_MS:
             return
-        known.full_sync_ms = now
-        have = [(x.name, x.incarnation, x.state, x.number) for x in self.table.records.values()]
+        info.full_sync_ms = now
+        versions = [(x.name, x.incarnation, x.state, x.number) for x in self.table.records.values()]
         self._enqueue(
-            Send(record.address, SyncRequest(reply_number=of, versions=have, records=[self.own_record])),
+            Send(
+                record.address,
+                SyncRequest(reply_number=reply_number, versions=versions, records=[self.own_record]),
+            ),
             run or record.run,
         )
 
     def _sync_slice(self, now: float) -> None:
-        """One slice of all names with a member drawn by lot: what was lost is healed in a bounded time."""
+        """Compares a slice of the names with a random member: repairs lost updates in bounded time."""
         if now < self._next_sync_ms:
             return
         self._next_sync_ms = now + SYNC_INTERVAL_MS * self.random.uniform(0.8, 1.2)
@@ -799,20 +838,21 @@
             return
         first = self._next_slice
         self._next_slice, names = self.table.names_from(first, SYNC_SLICE_NAMES)
-        held = self.table.records
-        have = [(x, held[x].incarnation, held[x].state, held[x].number) for x in names]
+        records = self.table.records
+        versions = [(x, records[x].incarnation, records[x].state, records[x].number) for x in names]
         self._send(
-            held[self.random.choice(others)], SyncRequest(first=first, last=self._next_slice, versions=have)
+            records[self.random.choice(others)],
+            SyncRequest(first=first, last=self._next_slice, versions=versions),
         )
 
     def _answer_sync(self, message: SyncRequest) -> None:
         if not self.joined:
             return
-        told = {
+        their_versions = {
             name: (incarnation, int(state), number) for name, incarnation, state, number in message.versions
         }
 
-        def order(record: Record) -> tuple[int, int, int]:
+        def version(record: Record) -> tuple[int, int, int]:
             return record.incarnation, int(record.state), record.number
 
         newer, wanted = [], []
@@ -820,12 +860,12 @@
             if name < message.first or message.last and name >= message.last:
                 continue
             record = self.table.records[name]
-            theirs = told.pop(name, None)
-            if theirs is None or order(record) > theirs:
+            their_version = their_versions.pop(name, None)
+            if their_version is None or version(record) > their_version:
                 newer.append(record)
-            elif theirs > order(record):
+            elif their_version > version(record):
                 wanted.append(name)
-        wanted += told
+        wanted += their_versions
         self._reply_with_records(message, newer, tuple(wanted))
 
     def _reply_with_records(
@@ -834,62 +874,64 @@
         if records or wanted:
             self._reply(message, Update(records=records, wanted=wanted))
 
-    # Watching
+    # Monitoring
 
     def _probe(self, now: float) -> None:
-        for name, watch in self.monitors.items():
+        for name, monitor in self.monitors.items():
             record = self.table.records[name]
-            if now >= watch.next_ping_ms:
-                watch.next_ping_ms = now + self.rules.probe_ms * self.random.uniform(0.9, 1.1)
+            if now >= monitor.next_ping_ms:
+                monitor.next_ping_ms = now + self.rules.probe_ms * self.random.uniform(0.9, 1.1)
                 self._send(record, Ping(digest=self.table.digest, records=self._next_updates()))
-                watch.record_ping(self._number, now)
+                monitor.record_ping(self._number, now)
             if (
-                not watch.connecting
-                and now >= watch.next_connect_ms
-                and watch.silent_ms(now) > CONNECT_AFTER_PROBES * self.rules.probe_ms
+                not monitor.connecting
+                and now >= monitor.next_connect_ms
+                and monitor.silent_ms(now) > CONNECT_AFTER_PROBES * self.rules.probe_ms
                 and not self._resyncing(now)
             ):
-                watch.connecting = True
-                watch.next_connect_ms = now + CONNECT_INTERVAL_MS
+                monitor.connecting = True
+                monitor.next_connect_ms = now + CONNECT_INTERVAL_MS
                 self.counters.knocks += 1
                 ping = Ping(digest=self.table.digest)
                 self._fill_header(ping, record.run)
-                watch.record_ping(self._number, now)
+                monitor.record_ping(self._number, now)
                 self._actions.append(ConnectProbe(name, record.run, record.address, ping))
         for name in list(self._disputed):
-            known = self.member_info[name]
-            if known.death_claim is None:
+            info = self.member_info[name]
+            if info.death_claim is None:
                 self._disputed.discard(name)
-            elif now - known.death_claim_sent_ms >= DISCOVER_INTERVAL_MS:
-                known.death_claim_sent_ms = now
-                self._send(self.table.records[name], Update(records=[known.death_claim]))
+            elif now - info.death_claim_sent_ms >= DISCOVER_INTERVAL_MS:
+                info.death_claim_sent_ms = now
+                self._send(self.table.records[name], Update(records=[info.death_claim]))
 
-    def _record_answer(self, name: str, run: int, of: int) -> None:
-        watch, record = self.monitors.get(name), self.table.records.get(name)
-        if watch is None or record is None or record.run != run:
+    def _record_answer(self, name: str, run: int, ping_number: int) -> None:
+        monitor, record = self.monitors.get(name), self.table.records.get(name)
+        if monitor is None or record is None or record.run != run:
             return
-        sent_ms = watch.pending_pings.pop(of, None)
+        sent_ms = monitor.pending_pings.pop(ping_number, None)
         if sent_ms is not None:
-            first = watch.answered_ms is None
-            watch.record_answer(sent_ms)
+            first = monitor.answered_ms is None
+            monitor.record_answer(sent_ms)
             if first or name not in self.own_record.reachable:
                 self._update_reachable(self._last_ms)
 
     def _update_reachable(self, now: float) -> None:
-        """Which of those that it watches are heard: told to all as soon as it changes."""
+        """Determines which monitored members are directly reachable; a change is published at once."""
         if not self.joined or self._resyncing(now):
             return
-        hears = tuple(name for name in sorted(self.monitors) if self._is_reachable(self.monitors[name], now))
+        reachable = tuple(
+            name for name in sorted(self.monitors) if self._is_reachable(self.monitors[name], now)
+        )
         refused = tuple(name for name in sorted(self.monitors) if self.monitors[name].refusing)
-        if hears != self.own_record.reachable or refused != self.own_record.refused:
-            self._set_own(now, reachable=hears, refused=refused)
+        if reachable != self.own_record.reachable or refused != self.own_record.refused:
+            self._set_own(now, reachable=reachable, refused=refused)
 
-    def _is_reachable(self, watch: PeerMonitor, now: float) -> bool:
-        quiet = watch.answered_ms is None or watch.silent_ms(now) > self.rules.quiet_ms
-        return not quiet and not watch.refusing
+    def _is_reachable(self, monitor: PeerMonitor, now: float) -> bool:
+        silent = monitor.answered_ms is None or monitor.silent_ms(now) > self.rules.quiet_ms
+        return not silent and not monitor.refusing
 
     def _evaluate_members(self, now: float) -> None:
-        """Who is reached, who is under suspicion, and who is out."""
+        """Determines which members are reachable, suspect or dead."""
         names = self.table.names
         if self._reachability_dirty:
             self._reachability_dirty = False
@@ -898,20 +940,19 @@
         if not self._unreachable:
             return
         for name in sorted(self._unreachable):
-            known = self.member_info[name]
+            info = self.member_info[name]
             if name in self._reachable or not self.table.alive(name):
-                if known.suspect and self.table.alive(name):
-                    self._set_suspect(name, known, False, "heard again")
-                known.unreachable_since_ms = None
+                if info.suspect and self.table.alive(name):
+                    self._set_suspect(name, info, False, "heard again")
+                info.unreachable_since_ms = None
                 self._unreachable.discard(name)
                 continue
-            if known.unreachable_since_ms is None:
-                known.unreachable_since_ms = max(
-                    now, known.since_ms + self.rules.quiet_ms
-                )  # a newcomer is given time
+            if info.unreachable_since_ms is None:
+                # A new member is given time to be monitored.
+                info.unreachable_since_ms = max(now, info.since_ms + self.rules.quiet_ms)
             if self._resyncing(now):
                 continue
-            reason = self._death_reason(now, name, known, self._watch_relation(name)[1])
+            reason = self._death_reason(now, name, info, self._watch_relation(name)[1])
             if reason:
                 dead = msgspec.structs.replace(
                     self.table.records[name],
@@ -923,40 +964,40 @@
                 )
                 self._store(now, dead, "dead", dead.state_reason)
             elif (
-                not known.suspect
-                and now - known.unreachable_since_ms >= SUSPECT_MS
-                and now - known.since_ms >= self.rules.quiet_ms
+                not info.suspect
+                and now - info.unreachable_since_ms >= SUSPECT_MS
+                and now - info.since_ms >= self.rules.quiet_ms
             ):
-                self._set_suspect(name, known, True, "heard by none that can be reached")
+                self._set_suspect(name, info, True, "heard by none that can be reached")
 
-    def _set_suspect(self, name: str, known: MemberInfo, so: bool, reason: str) -> None:
-        known.suspect = so
-        known.since_ms = self._last_ms
+    def _set_suspect(self, name: str, info: MemberInfo, suspect: bool, reason: str) -> None:
+        info.suspect = suspect
+        info.since_ms = self._last_ms
         self._actions.append(
             MemberChanged(
                 name,
-                "suspect" if so else "heard",
+                "suspect" if suspect else "heard",
                 reason,
                 self.table.records[name].incarnation,
                 self.table.view(),
             )
         )
 
-    def _death_reason(self, now: float, name: str, known: MemberInfo, observers: frozenset[str]) -> str:
-        """Why a member that nobody reaches is out, or "" while it is not."""
+    def _death_reason(self, now: float, name: str, info: MemberInfo, observers: frozenset[str]) -> str:
+        """Returns why an unreachable member is dead, or "" while it is not."""
         if (
-            known.death_claim is not None
-            and known.death_claim.incarnation == self.table.records[name].incarnation
+            info.death_claim is not None
+            and info.death_claim.incarnation == self.table.records[name].incarnation
         ):
-            return f"nobody hears it here either; {known.death_claim.state_reason}"
+            return f"nobody hears it here either; {info.death_claim.state_reason}"
         voters = [x for x in sorted(observers) if x in self._reachable]
         refused = [x for x in voters if name in self.table.records[x].refused]
         if voters and 2 * len(refused) > len(voters):
             return f"its address refuses connections, say {', '.join(refused)}"
-        lost = now - (known.unreachable_since_ms if known.unreachable_since_ms is not None else now)
-        if lost >= self.rules.out_ms:
-            who = ", ".join(voters) or "all out of reach"
-            return f"heard by none of its observers ({who}) for {lost:.0f} ms"
+        unreachable_ms = now - (info.unreachable_since_ms if info.unreachable_since_ms is not None else now)
+        if unreachable_ms >= self.rules.out_ms:
+            voter_names = ", ".join(voters) or "all out of reach"
+            return f"heard by none of its observers ({voter_names}) for {unreachable_ms:.0f} ms"
         return ""
 
     # Sending
--- a/cloverhinge/members/transport.py
+++ b/cloverhinge/members/transport.py
@@ -1,4 +1,7 @@
-"""Membership's sockets: UDP, and TCP for what exceeds a datagram.  Decisions: core.py."""
+"""Sockets of the membership protocol: UDP, and TCP for messages that exceed a datagram.
+
+The protocol logic is in core.py.
+"""
 
 from __future__ import annotations
 
@@ -20,22 +23,17 @@
 from cloverhinge.members import core, wire
 from cloverhinge.site.model import MembersSite
 
-IDLE_TIMEOUT_MS = (
-    1000.0  # a connection that brings nothing for so long is closed: it carries one question and answer
-)
-MAX_OUTGOING, MAX_INCOMING = (
-    16,
-    16,
-)  # connections at a time; with FRAME_MOST this bounds what they hold to 16 MB
-PORT_TRIES = 8  # for a port that is free for both UDP and TCP, where any will do
-MIN_LOG_INTERVAL_MS = 60_000.0  # between two log lines on the same trouble with the same peer
-MAX_LOGGED_TROUBLES = 256  # peers and troubles remembered for that
+IDLE_TIMEOUT_MS = 1000.0  # a silent connection is closed then; it carries one request and its answer
+MAX_OUTGOING, MAX_INCOMING = 16, 16  # connections; with MAX_FRAME_BYTES this bounds their buffers to 16 MB
+PORT_TRIES = 8  # to find a port that is free for both UDP and TCP, if any port will do
+MIN_LOG_INTERVAL_MS = 60_000.0  # between two log lines on the same kind of trouble with the same peer
+MAX_LOGGED_TROUBLES = 256  # pairs of kind and peer remembered for that
 
 Event = core.ProcessPaused | core.MemberChanged | core.IncarnationVoided
 
 
 class FrameProtocol(Int32StringReceiver):
-    """One connection, from either end: sealed messages with their lengths ahead."""
+    """One TCP connection, from either end: signed messages, each preceded by its length."""
 
     MAX_LENGTH = wire.MAX_FRAME_BYTES
     transport: Any
@@ -64,11 +62,12 @@
 
     def lengthLimitExceeded(self, length: int) -> None:
         self.owner.report_trouble(
-            "long", self.transport.getPeer().host, f"it announces a message of {length} bytes"
+            "long", self.transport.getPeer().host, f"its announced length of {length} bytes exceeds the limit"
         )
         self.transport.abortConnection()
 
     def close(self) -> None:
+        """Closes the connection after all pending data has been written."""
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Any = None) -> None:
@@ -81,6 +80,8 @@
 
 
 class OutgoingFactory(ClientFactory):
+    """Opens one connection, which sends `first_message`; `probe` is told if it fails."""
+
     noisy = False
 
     def __init__(
@@ -103,6 +104,8 @@
 
 
 class IncomingFactory(ServerFactory):
+    """Accepts up to MAX_INCOMING connections at a time."""
+
     noisy = False
 
     def __init__(self, owner: MembershipTransport) -> None:
@@ -113,7 +116,11 @@
 
 
 class MembershipTransport(DatagramProtocol):
-    """A part of the node: `start`, `status`, `told_to_end`; parts built on it `watch` and ask `awake`."""
+    """The membership component of the node, with its sockets.
+
+    Components built on it append to `listeners` (for events), register in `receivers` (for messages, by
+    component key) and call `check_trusted` before they act on membership.
+    """
 
     log = Logger()
     noisy = False
@@ -128,7 +135,7 @@
         self.random = random.Random(f"members {seed}")
         self.trouble_counts: Counter[str] = Counter()
         self.listeners: list[Callable[[Event], None]] = []
-        self.receivers: dict[str, Callable[[core.ComponentMessageReceived], None]] = {}  # by the part's key
+        self.receivers: dict[str, Callable[[core.ComponentMessageReceived], None]] = {}  # by component key
         self.incoming_count = self.outgoing_count = 0
         self.membership: core.Membership
         self.address = site.advertise or site.listen
@@ -137,10 +144,10 @@
         self._tcp: Any = None
         self._started = False
 
-    # The node's side
+    # Called by the node and its components
 
     def start(self) -> None:
-        """Raises CannotListenError where the address is taken."""
+        """Opens the sockets and begins to join; raises CannotListenError if the address is in use."""
         host, port = self._listen()
         if self.site.advertise is None or self.site.advertise[1] == 0:
             self.address = (self.address[0], port)
@@ -155,12 +162,12 @@
             rules,
         )
         self.log.info(
-            "{name}: members: listening on {host}:{port}, known as {told}:{at}, site {site}",
+            "{name}: members: listening on {host}:{port}, known as {known_host}:{known_port}, site {site}",
             name=self.name,
             host=host,
             port=port,
-            told=self.address[0],
-            at=self.address[1],
+            known_host=self.address[0],
+            known_port=self.address[1],
             site=self.site.site,
         )
         self._started = True
@@ -169,51 +176,53 @@
 
     def _listen(self) -> tuple[str, int]:
         host, port = self.site.listen
-        for left in reversed(range(PORT_TRIES)):
+        for tries_left in reversed(range(PORT_TRIES)):
             self._udp = self.reactor.listenUDP(port, self, interface=host, maxPacketSize=65536)
-            found: int = self._udp.getHost().port
+            bound_port: int = self._udp.getHost().port
             try:
-                self._tcp = self.reactor.listenTCP(found, IncomingFactory(self), interface=host)
-                return host, found
+                self._tcp = self.reactor.listenTCP(bound_port, IncomingFactory(self), interface=host)
+                return host, bound_port
             except CannotListenError:
                 self._udp.stopListening()
-                if port or not left:
+                if port or not tries_left:
                     raise
         raise AssertionError("unreachable")
 
     def publish(self, facts: dict[str, Any]) -> None:
-        """Replaces this member's facts; ValueError where they are over 512 bytes of msgpack."""
+        """Replaces this member's facts; raises ValueError if they exceed 512 bytes of msgpack."""
         self._perform(self.membership.publish(self.clock.now(), msgspec.msgpack.encode(facts)), None)
 
     def check_trusted(self) -> bool:
-        """To be asked before a part acts on membership: tells of a pause first, and whether to trust."""
+        """Detects a pause of the process, and returns whether the membership view can be relied on."""
         self._perform(self.membership.check_pause(self.clock.now()), None)
         return self.membership.trusted
 
     def send_component_message(self, name: str, run: int, component: str, body: bytes) -> None:
-        """What a part says to the same part of that run; it may be lost."""
+        """Sends a message to the same component of a run of another member; it may be lost."""
         self._perform(
             self.membership.send_component_message(self.clock.now(), name, run, component, body), None
         )
 
     def begin_shutdown(self) -> None:
+        """Announces to the other members that this router leaves."""
         self._perform(self.membership.leave(self.clock.now()), None)
 
     def status(self) -> dict[str, Any]:
-        members, now = self.membership, self.clock.now()
-        view = members.view()
+        """Returns the view, all member records and the counters for the status JSON."""
+        membership, now = self.membership, self.clock.now()
+        view = membership.view()
         rows = []
-        for name in members.table.sorted_names:
-            record = members.table.records[name]
-            heard, unheard = members.split_observers(name)
+        for name in membership.table.sorted_names:
+            record = membership.table.records[name]
+            reaching, not_reaching = membership.split_observers(name)
             rows.append(
                 {
                     "name": name,
                     "site": record.site,
-                    "state": members.state(name),
+                    "state": membership.state(name),
                     "incarnation": record.incarnation,
-                    "since_ms": round(now - members.member_info[name].since_ms),
-                    "reach": {"heard_by": heard, "not_heard_by": unheard},
+                    "since_ms": round(now - membership.member_info[name].since_ms),
+                    "reach": {"heard_by": reaching, "not_heard_by": not_reaching},
                     "by": record.state_reason,
                     "address": f"{record.host}:{record.port}",
                     "facts": msgspec.msgpack.decode(record.facts) if record.facts else {},
@@ -225,25 +234,26 @@
             "in": len(view.names),
             "whole": view.expected,
             "majority": view.majority,
-            "joined": members.joined,
-            "trusted": members.trusted,
+            "joined": membership.joined,
+            "trusted": membership.trusted,
             "list": rows,
-            "counters": asdict(members.counters),
-            "turned_away": members.table.rejected,
+            "counters": asdict(membership.counters),
+            "turned_away": membership.table.rejected,
             "refused": dict(self.trouble_counts),
         }
 
-    # The core's side
+    # Sockets and actions of the core
 
     def _tick(self) -> None:
         self._perform(self.membership.tick(self.clock.now()), None)
         self.deadlines.after(core.TICK_MS, self._tick)
 
-    def receive(self, sealed: bytes, peer: core.Address, reply_to: FrameProtocol | None) -> None:
+    def receive(self, signed_message: bytes, peer: core.Address, reply_to: FrameProtocol | None) -> None:
+        """Handles a signed message; `reply_to` is the connection that it came over, None for a datagram."""
         if not self._started:
             return
         try:
-            message = wire.decode(self.authenticator.verify(sealed))
+            message = wire.decode(self.authenticator.verify(signed_message))
         except wire.MessageError as error:
             self.report_trouble(error.kind, peer[0], str(error))
             return
@@ -253,13 +263,14 @@
         self.receive(datagram, (addr[0], addr[1]), None)
 
     def probe_ended(self, probe: core.ConnectProbe | None, sent_ms: float, refused: bool) -> None:
+        """Reports the end of a connection to the core if it was a probe."""
         if probe is not None:
             self._perform(
                 self.membership.connect_ended(self.clock.now(), probe.name, probe.run, sent_ms, refused), None
             )
 
     def report_trouble(self, kind: str, host: str, text: str) -> None:
-        """Counted; told once a minute for each peer and kind, so that no flood fills the log."""
+        """Counts a trouble with a peer; logs it at most once a minute per peer and kind to limit the log."""
         self.trouble_counts[kind] += 1
         now, last = self.clock.now(), self._logged_ms.get((kind, host))
         if last is not None and now - last < MIN_LOG_INTERVAL_MS:
@@ -268,7 +279,7 @@
         while len(self._logged_ms) > MAX_LOGGED_TROUBLES:
             self._logged_ms.popitem(last=False)
         self.log.warn(
-            "{name}: members: refuses a message from {host}: {text}", name=self.name, host=host, text=text
+            "{name}: members: message from or to {host} dropped: {text}", name=self.name, host=host, text=text
         )
 
     def _perform(self, actions: list[core.Action], reply_to: FrameProtocol | core.Address | None) -> None:
@@ -281,24 +292,24 @@
                         action.address, self.authenticator.sign(wire.encode(action.message)), action
                     )
                 case core.ComponentMessageReceived():
-                    hearer = self.receivers.get(action.component)
-                    if hearer is not None:
-                        hearer(action)
+                    receiver = self.receivers.get(action.component)
+                    if receiver is not None:
+                        receiver(action)
                 case core.LogLine():
-                    tell = self.log.error if action.error else self.log.info
-                    tell("{name}: members: {text}", name=self.name, text=action.text)
+                    log = self.log.error if action.error else self.log.info
+                    log("{name}: members: {text}", name=self.name, text=action.text)
                 case _:
                     self._notify(action)
 
     def _notify(self, event: Event) -> None:
         match event:
-            case core.MemberChanged(name, what, reason, incarnation, view):
+            case core.MemberChanged(name, change, reason, incarnation, view):
                 self.log.info(
-                    "{own}: members: {name} {what}, incarnation {incarnation} ({reason}); "
+                    "{own}: members: {name} {change}, incarnation {incarnation} ({reason}); "
                     "view {number}:{digest} of {size}",
                     own=self.name,
                     name=name,
-                    what=what,
+                    change=change,
                     incarnation=incarnation,
                     reason=reason,
                     number=view.number,
@@ -307,33 +318,35 @@
                 )
             case core.ProcessPaused(ms):
                 self.log.info("{name}: members: away for {ms} ms", name=self.name, ms=round(ms))
-        for watcher in self.listeners:
-            watcher(event)
+        for listener in self.listeners:
+            listener(event)
 
     def _send(self, send: core.Send, reply_to: FrameProtocol | core.Address | None) -> None:
-        sealed = self.authenticator.sign(wire.encode(send.message))
+        signed_message = self.authenticator.sign(wire.encode(send.message))
         to = send.address or reply_to
         if isinstance(to, FrameProtocol):
-            to.sendString(sealed)  # type: ignore[no-untyped-call]
+            to.sendString(signed_message)  # type: ignore[no-untyped-call]
         elif to is None:
             return
-        elif len(sealed) > wire.MAX_DATAGRAM_BYTES:
-            self._connect(to, sealed, None)
+        elif len(signed_message) > wire.MAX_DATAGRAM_BYTES:
+            self._connect(to, signed_message, None)
         else:
             try:
-                self._udp.write(sealed, to)  # not `transport`: a port that was given up takes that with it
-            except OSError as error:  # a full buffer or no route: as good as lost, and others go on
-                self.report_trouble("unsent", to[0], f"could not send to it: {error.strerror}")
+                self._udp.write(
+                    signed_message, to
+                )  # not `transport`, which is reset when `_listen` closes a port
+            except OSError as error:  # full buffer or no route: the same as a lost datagram
+                self.report_trouble("unsent", to[0], f"could not be sent: {error.strerror}")
 
     def _connect(self, to: core.Address, first_message: bytes, probe: core.ConnectProbe | None) -> None:
         if self.outgoing_count >= MAX_OUTGOING:
             self.trouble_counts["busy"] += 1
-            if probe is not None:  # told from the next round on: the core is in the middle of this one
+            if probe is not None:  # reported later: the core's actions are still being performed
                 self.deadlines.after(0.0, lambda: self.probe_ended(probe, self.clock.now(), False))
             return
         self.outgoing_count += 1
         host = self.site.listen[0]
-        bind = None if host in ("0.0.0.0", "") else (host, 0)  # so that the other end sees who it is
+        bind = None if host in ("0.0.0.0", "") else (host, 0)  # so that the peer sees this router's address
         self.reactor.connectTCP(
             *to,
             OutgoingFactory(self, first_message, probe),
--- a/cloverhinge/members/watch.py
+++ b/cloverhinge/members/watch.py
@@ -1,9 +1,12 @@
-"""Who watches whom, what is heard, and what follows from it for who is in.  Pure; from published ideas only.
+"""Which members monitor each other, and which of them are reachable.
 
-Each member watches up to K others, the next ones on K rings that its name is hashed onto (as in Rapid).
-A member *hears* one that it watches when a question to it was answered: both directions work.  From here, a
-member is *reached* over who hears whom; the word of one that is not reached counts for nothing.  A cut link
-alone thus puts nobody out, and all who reach each other come to the same verdict.
+Each member monitors up to K others: its successors on K rings onto which the names are hashed (as in Rapid).
+A monitored member is directly reachable if it answers pings, which shows that both directions work.  Each
+member publishes this, and a router follows these reports from member to member to find all that are reachable
+from it, directly or through others.  Reports of members that are not reachable are ignored.  A single broken
+link thus removes nobody, and all routers that can reach each other come to the same result.
+
+This module does no I/O and rests on published algorithms only.
 """
 
 from __future__ import annotations
@@ -15,50 +18,53 @@
 
 from cloverhinge.members.wire import Record
 
-MAX_PENDING_PINGS = 16  # questions to one member whose answers still count: 6 s of them at the default pace
-MIN_REFUSALS = 2  # refused connections in a row before an address counts as refusing: one may be a restart
+MAX_PENDING_PINGS = 16  # per member; an ack of an older ping is ignored: 6 s at the default interval
+MIN_REFUSALS = 2  # consecutive refused connections that show a member is down; one may be a restart
 
 
 @lru_cache(maxsize=16)
 def watch_relations(
     names: tuple[str, ...], ring_count: int
 ) -> dict[str, tuple[frozenset[str], frozenset[str]]]:
-    """For each name those that it watches, and those that watch it; `names` sorted, `most` rings."""
+    """Returns for each name those that it monitors and those that monitor it; `names` has to be sorted."""
     if len(names) <= ring_count + 1:
         every = frozenset(names)
         return {name: (every - {name}, every - {name}) for name in names}
-    watched: dict[str, set[str]] = {name: set() for name in names}
-    watching: dict[str, set[str]] = {name: set() for name in names}
+    monitored: dict[str, set[str]] = {name: set() for name in names}
+    observers: dict[str, set[str]] = {name: set() for name in names}
     for ring in range(ring_count):
-        order = sorted(names, key=lambda name: _place(name, ring))
-        for name, following in zip(order, [*order[1:], order[0]], strict=True):
-            watched[name].add(following)
-            watching[following].add(name)
-    return {name: (frozenset(watched[name]), frozenset(watching[name])) for name in names}
+        ring_order = sorted(names, key=lambda name: _ring_position(name, ring))
+        for name, successor in zip(ring_order, [*ring_order[1:], ring_order[0]], strict=True):
+            monitored[name].add(successor)
+            observers[successor].add(name)
+    return {name: (frozenset(monitored[name]), frozenset(observers[name])) for name in names}
 
 
 @lru_cache(maxsize=16384)
-def _place(name: str, ring: int) -> bytes:
+def _ring_position(name: str, ring: int) -> bytes:
     return hashlib.blake2b(f"{ring} {name}".encode(), digest_size=8).digest()
 
 
 def reachable_from(
-    own: str, hears: Iterable[str], records: Mapping[str, Record], names: Iterable[str]
+    own: str, reachable: Iterable[str], records: Mapping[str, Record], names: Iterable[str]
 ) -> set[str]:
-    """All that can be reached from here over those that hear them, oneself included."""
-    left, found = set(names) - {own}, {own}
-    following = [x for x in hears if x in left]
-    while following:
-        name = following.pop()
-        if name in left:
-            left.discard(name)
+    """Returns all names reachable from `own`, which is included, directly or through other reachable members.
+
+    `reachable` are the names that `own` reaches directly; those of the others are in their records.
+    """
+    unvisited, found = set(names) - {own}, {own}
+    queue = [x for x in reachable if x in unvisited]
+    while queue:
+        name = queue.pop()
+        if name in unvisited:
+            unvisited.discard(name)
             found.add(name)
-            following += [x for x in records[name].reachable if x in left]
+            queue += [x for x in records[name].reachable if x in unvisited]
     return found
 
 
 class PeerMonitor:
-    """One member that this one watches."""
+    """What this router knows about one member that it monitors: pings, acks and refused connections."""
 
     __slots__ = (
         "pending_pings",
@@ -73,36 +79,42 @@
 
     def __init__(self, now: float, first_ping_ms: float) -> None:
         self.since_ms = now
-        self.answered_ms: float | None = None  # when a question was sent that has been answered; never yet
+        self.answered_ms: float | None = None  # when the last answered ping was sent
         self.next_ping_ms = first_ping_ms
         self.next_connect_ms = now
-        self.pending_pings: OrderedDict[int, float] = OrderedDict()  # pings out: number, when it was sent
+        self.pending_pings: OrderedDict[int, float] = OrderedDict()  # number: when it was sent
         self.connecting = False
         self.refusals = 0
-        self.first_refusal_ms = 0.0  # of the first refusal in the row
+        self.first_refusal_ms = 0.0  # of the first of the consecutive refusals
 
     def record_ping(self, number: int, now: float) -> None:
+        """Notes that the ping `number` was sent; only the last MAX_PENDING_PINGS are remembered."""
         self.pending_pings[number] = now
         while len(self.pending_pings) > MAX_PENDING_PINGS:
             self.pending_pings.popitem(last=False)
 
     def record_answer(self, sent_ms: float) -> None:
-        """An answer proves that it lived after the question was sent, and no more."""
+        """Notes the answer to a ping sent at `sent_ms`.
+
+        It proves only that the member was alive at some time after that.
+        """
         if self.answered_ms is None or sent_ms > self.answered_ms:
             self.answered_ms = sent_ms
         if sent_ms >= self.first_refusal_ms:
             self.refusals = 0
 
     def record_refusal(self, now: float) -> None:
+        """Notes that the member's address refused a connection."""
         if self.refusals == 0:
             self.first_refusal_ms = now
         self.refusals += 1
 
     def silent_ms(self, now: float) -> float:
+        """How long ago the last answered ping was sent, or the monitoring began."""
         return now - (self.since_ms if self.answered_ms is None else self.answered_ms)
 
     def credit_pause(self, ms: float) -> None:
-        """This member slept: the silence of that time was its own."""
+        """Discounts a pause of this process, in which it could not have received answers."""
         self.since_ms += ms
         if self.answered_ms is not None:
             self.answered_ms += ms
@@ -110,4 +122,5 @@
 
     @property
     def refusing(self) -> bool:
+        """Whether enough consecutive connections were refused to show that no process listens there."""
         return self.refusals >= MIN_REFUSALS
--- a/cloverhinge/members/wire.py
+++ b/cloverhinge/members/wire.py
@@ -1,6 +1,7 @@
-"""What members say to each other: msgpack by msgspec, sealed with HMAC-SHA256 (RFC 2104, cut to 128 bits).
+"""Wire format of the membership protocol: msgpack bodies authenticated with HMAC-SHA256.
 
-A sealed message is MARK, one byte of version, the tag over version and body, and the body.  Pure.
+The tag is truncated to 128 bits (RFC 2104).  A signed message consists of MAGIC, one byte of
+protocol version, the tag over version and body, and the body.  This module does no I/O.
 """
 
 from __future__ import annotations
@@ -15,27 +16,30 @@
 
 MAGIC = b"CH"
 VERSION = 1
-TAG_BYTES = 16  # bytes: RFC 2104 allows half of the digest, and 2^-128 is enough for a forger
+TAG_BYTES = 16  # RFC 2104 allows half of the digest; a forged tag is accepted with probability 2^-128
 HEADER_BYTES = len(MAGIC) + 1 + TAG_BYTES
-MAX_DATAGRAM_BYTES = 1200  # bytes, sealed: fits any path's packet (IPv6's least MTU of 1280 less headers)
-MAX_FRAME_BYTES = 1 << 20  # bytes over TCP: 1,024 records of 1 KB each
-MAX_FACTS_BYTES = 512  # bytes of a member's published facts
-MAX_NAME_LENGTH = 64  # characters, as the site file's names
+MAX_DATAGRAM_BYTES = 1200  # signed; fits a packet on any path (the minimum IPv6 MTU of 1280 less headers)
+MAX_FRAME_BYTES = 1 << 20  # one message over TCP: 1,024 records of 1 KB each
+MAX_FACTS_BYTES = 512  # the encoded facts that a member publishes
+MAX_NAME_LENGTH = 64  # characters, as for names in the site file
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
-Number = Annotated[int, Meta(ge=0)]  # msgpack holds 64 bits
+Number = Annotated[int, Meta(ge=0)]  # msgpack encodes up to 64 bits
 Host = Annotated[str, Meta(max_length=64)]
 Names = Annotated[tuple[Name, ...], Meta(max_length=64)]
 
 
 class State(IntEnum):
-    """Of a member, in the order in which one follows another within an incarnation."""
+    """State of a member, in the order in which one state can follow another within an incarnation."""
 
     ALIVE, DEAD, LEFT = 0, 1, 2
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What is told of a member.  `run` is drawn at each start; `number` only grows in an incarnation."""
+    """The published state of one member.
+
+    `run` is drawn at random at each start of the process; `number` only increases within an incarnation.
+    """
 
     name: Name
     incarnation: Number
@@ -46,12 +50,13 @@
     port: Annotated[int, Meta(ge=1, lt=65536)]
     site: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)] = ""
     facts: Annotated[bytes, Meta(max_length=MAX_FACTS_BYTES)] = b""
-    reachable: Names = ()  # members that it has heard both ways of late
-    refused: Names = ()  # members whose address refuses its connections
-    state_reason: Annotated[str, Meta(max_length=256)] = ""  # who said that it is dead, and why
+    reachable: Names = ()  # monitored members that it currently exchanges messages with in both directions
+    refused: Names = ()  # monitored members whose address refuses connections from this member
+    state_reason: Annotated[str, Meta(max_length=256)] = ""  # who declared it dead and why, or why it left
 
     @property
     def address(self) -> tuple[str, int]:
+        """Host and port at which the member can be contacted."""
         return self.host, self.port
 
 
@@ -59,7 +64,10 @@
 
 
 class Message(msgspec.Struct, array_like=True, kw_only=True):
-    """`sender` in its `run` says it to the run `to` (0: to whoever is there); `number` grows with each."""
+    """Header of every message: from run `run` of `sender` to the run `to_run` (0: any run at that address).
+
+    `number` increases with each message that the run sends.
+    """
 
     sender: Name = ""
     run: Number = 0
@@ -68,18 +76,25 @@
 
 
 class Ping(Message, tag=1, kw_only=True):
+    """Probes a monitored member; `digest` identifies the sender's view."""
+
     digest: Number = 0
     records: Records = []
 
 
 class Ack(Message, tag=2, kw_only=True):
-    ping_number: Number = 0  # the ping's number
+    """Answers the ping with the number `ping_number`."""
+
+    ping_number: Number = 0
     digest: Number = 0
     records: Records = []
 
 
 class DiscoverRequest(Message, tag=3, kw_only=True):
-    """Whoever is there: who are you, and what do you hold of me?  Changes nothing where it comes."""
+    """Asks whoever listens at an address for its own record and for the record that it has of the sender.
+
+    Receiving one changes no state.
+    """
 
     nonce: Number = 0
     host: Host = ""
@@ -87,6 +102,8 @@
 
 
 class DiscoverReply(Message, tag=4, kw_only=True):
+    """Answers the `DiscoverRequest` with the same nonce; carries no records if the sender has not joined."""
+
     nonce: Number = 0
     joined: bool = False
     own: Record | None = None
@@ -94,9 +111,13 @@
 
 
 class SyncRequest(Message, tag=5, kw_only=True):
-    """What do you have that is newer?  `have` covers the names from `first` to `last` ("": no end)."""
+    """Asks for all records that are newer than the listed `versions`.
 
-    reply_number: Number = 0  # the welcome that it follows, if it does: then both directions are proven
+    The list covers the names from `first` up to but excluding `last` ("": no upper bound), each with
+    incarnation, state and number.
+    """
+
+    reply_number: Number = 0  # the DiscoverReply that led to it, if any: it proves that both directions work
     first: str = ""
     last: str = ""
     versions: Annotated[list[tuple[str, Number, State, Number]], Meta(max_length=1024)] = []
@@ -104,18 +125,20 @@
 
 
 class Update(Message, tag=6, kw_only=True):
+    """Passes records on, and asks for the records of the names in `wanted`."""
+
     records: Records = []
     wanted: Annotated[tuple[str, ...], Meta(max_length=1024)] = ()
 
 
 class WrongRun(Message, tag=7, kw_only=True):
-    """What you sent with the number `of` was for a run that is not here."""
+    """Answers the message `message_number`, which was addressed to a run that is not at this address."""
 
     message_number: Number = 0
 
 
 class ComponentMessage(Message, tag=8, kw_only=True):
-    """What a part built on membership says to the same part of another."""
+    """Carries the payload of a component built on membership to the same component of another router."""
 
     component: Name = ""
     body: bytes = b""
@@ -128,7 +151,7 @@
 
 
 class MessageError(ValueError):
-    """One plain sentence on why a message is refused; `kind` names the sort for the counters."""
+    """A message was rejected; the text says why, and `kind` names the counter of such rejections."""
 
     def __init__(self, kind: str, text: str) -> None:
         super().__init__(text)
@@ -136,50 +159,52 @@
 
 
 def encode(message: Message) -> bytes:
+    """Returns the msgpack body, not yet signed."""
     return _encoder.encode(message)
 
 
 def decode(body: bytes) -> AnyMessage:
-    """Raises Bad."""
+    """Decodes a verified body; raises MessageError if it is malformed or violates a bound."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise MessageError("malformed", f"it can't be read: {error}") from None
+        raise MessageError("malformed", f"it cannot be decoded: {error}") from None
 
 
 class Authenticator:
-    """Signs with the first key, and takes what any of the keys signed: two while a key is changed."""
+    """Signs with the first key and accepts signatures of any key: two while a key is being replaced."""
 
     def __init__(self, keys: tuple[bytes, ...]) -> None:
         self.keys = keys
 
     def sign(self, body: bytes) -> bytes:
+        """Returns the body with magic, version and tag in front."""
         head = bytes((VERSION,))
         return MAGIC + head + self._tag(self.keys[0], head + body) + body
 
-    def verify(self, sealed: bytes) -> bytes:
-        """The body; Bad where it is none of this installation's."""
-        if len(sealed) < HEADER_BYTES or not sealed.startswith(MAGIC):
-            raise MessageError("malformed", "it is no message of a member")
-        version, tag, body = sealed[2], sealed[3:HEADER_BYTES], sealed[HEADER_BYTES:]
+    def verify(self, signed_message: bytes) -> bytes:
+        """Returns the body; raises MessageError if the message was not signed for this installation."""
+        if len(signed_message) < HEADER_BYTES or not signed_message.startswith(MAGIC):
+            raise MessageError("malformed", "it is not a message of a member")
+        version, tag, body = signed_message[2], signed_message[3:HEADER_BYTES], signed_message[HEADER_BYTES:]
         if version != VERSION:
             raise MessageError(
-                "version", f"it speaks version {version} of the members' wire, this router {VERSION}"
+                "version", f"it uses protocol version {version}, this router uses version {VERSION}"
             )
-        told = sealed[2:3] + body
-        if not any([hmac.compare_digest(self._tag(key, told), tag) for key in self.keys]):
-            raise MessageError("key", "it is signed with a key that this installation does not use")
+        signed_part = signed_message[2:3] + body
+        if not any([hmac.compare_digest(self._tag(key, signed_part), tag) for key in self.keys]):
+            raise MessageError("key", "its signature matches no key of this installation")
         return body
 
     @staticmethod
-    def _tag(key: bytes, told: bytes) -> bytes:
-        return hmac.digest(key, told, hashlib.sha256)[:TAG_BYTES]
+    def _tag(key: bytes, signed_part: bytes) -> bytes:
+        return hmac.digest(key, signed_part, hashlib.sha256)[:TAG_BYTES]
 
 
 class ReplayWindow:
-    """Which numbers of one run have been seen, so that none counts twice (as RFC 4303's anti-replay)."""
+    """Sliding anti-replay window over the message numbers of one run (as in RFC 4303)."""
 
-    SPAN = 1024  # numbers: some 15 s of a member's messages; later ones are refused as old
+    SPAN = 1024  # numbers, about 15 s of a member's messages; anything older is rejected
 
     __slots__ = ("highest", "seen")
 
@@ -187,13 +212,13 @@
         self.highest, self.seen = 0, 0
 
     def accept(self, number: int) -> bool:
-        """Whether the number is new; it is not from then on."""
+        """Marks the number as seen; False if it was seen before or is older than the window."""
         if number > self.highest:
             self.seen = (self.seen << min(number - self.highest, self.SPAN) | 1) & ((1 << self.SPAN) - 1)
             self.highest = number
             return True
-        back = self.highest - number
-        if back >= self.SPAN or self.seen >> back & 1:
+        age = self.highest - number
+        if age >= self.SPAN or self.seen >> age & 1:
             return False
-        self.seen |= 1 << back
+        self.seen |= 1 << age
         return True
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -28,22 +28,22 @@
 
 
 def no_way_round() -> None:
-    def direct(own: str, hears: Any, records: Any, names: Any) -> set[str]:
-        return {own, *hears} & {own, *names}
+    def direct(own: str, reachable: Any, records: Any, names: Any) -> set[str]:
+        return {own, *reachable} & {own, *names}
 
     core.reachable_from = direct  # type: ignore[attr-defined]
 
 
 def last_words() -> None:
-    def believing(own: str, hears: Any, records: Any, names: Any) -> set[str]:
+    def believing(own: str, reachable: Any, records: Any, names: Any) -> set[str]:
         known = set(names)
-        return {own, *hears, *(x for name in known for x in records[name].reachable)} & {own, *known}
+        return {own, *reachable, *(x for name in known for x in records[name].reachable)} & {own, *known}
 
     core.reachable_from = believing  # type: ignore[attr-defined]
 
 
 def no_objection() -> None:
-    core.Membership._refute = lambda self, now, told: None  # type: ignore[method-assign]
+    core.Membership._refute = lambda self, now, claim: None  # type: ignore[method-assign]
 
 
 def no_window() -> None:
@@ -51,7 +51,7 @@
 
 
 def any_key() -> None:
-    wire.Authenticator.verify = lambda self, sealed: sealed[wire.HEADER_BYTES :]  # type: ignore[method-assign]
+    wire.Authenticator.verify = lambda self, signed_message: signed_message[wire.HEADER_BYTES :]  # type: ignore[method-assign]
 
 
 def any_word() -> None:
@@ -75,7 +75,7 @@
 
 
 def no_twins() -> None:
-    core.Membership._resolve_name_conflict = lambda self, now, run, came: None  # type: ignore[method-assign]
+    core.Membership._resolve_name_conflict = lambda self, now, run, source: None  # type: ignore[method-assign]
 
 
 def no_refusals() -> None:
@@ -85,10 +85,10 @@
 def one_observer() -> None:
     verdict = core.Membership._death_reason
 
-    def hasty(self: core.Membership, now: float, name: str, known: Any, observers: frozenset[str]) -> str:
+    def hasty(self: core.Membership, now: float, name: str, info: Any, observers: frozenset[str]) -> str:
         if name in self.monitors and name not in self.own_record.reachable:
             return "I do not hear it"
-        return verdict(self, now, name, known, observers)
+        return verdict(self, now, name, info, observers)
 
     core.Membership._death_reason = hasty  # type: ignore[method-assign]
     no_way_round()
--- a/tests/test_lab_members.py
+++ b/tests/test_lab_members.py
@@ -1,4 +1,4 @@
-"""Membership in several processes of the program, with faults between them, checked on the run's record."""
+"""Membership of several router processes with faults between them, checked against the record of the run."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from cloverhinge.members import wire
 from tests import guards
 
-BOUND_MS = 3500.0  # docs/operators/members.md: a pause under this removes nobody
-SOON_S = 20.0  # for what has to come, also on a busy machine
+BOUND_MS = 3500.0  # a shorter pause removes no member (docs/operators/members.md)
+SOON_S = 20.0  # time limit for what has to happen, generous for a busy machine
 
 
 @contextmanager
@@ -38,7 +38,7 @@
 
 
 def later_kill(made: Rig, number: int, others: list[Router]) -> None:
-    """Gives all that was to come before it the time to come, without a wait for a time."""
+    """Kills a router and waits for its removal, so that earlier events have time to arrive."""
     made[number].kill()
     made.until_agreed(others, SOON_S)
 
@@ -55,7 +55,7 @@
         assert rows["r1"]["incarnation"] == 2 and rows["r1"]["state"] == "alive"
         (tmp_path / "show.toml").write_text('[admin]\nlisten = "%s:%d"\n' % made[0].ports["admin"])
         deadline, table = time.monotonic() + SOON_S, ""
-        while len([x for x in table.splitlines() if " 4 of 4 " in x]) < 5:  # heard by all, a moment later
+        while len([x for x in table.splitlines() if " 4 of 4 " in x]) < 5:  # all see all, a moment later
             assert time.monotonic() < deadline, table
             table = subprocess.run(
                 [sys.executable, "-m", "cloverhinge", "members", "--site", str(tmp_path / "show.toml")],
@@ -93,14 +93,14 @@
 def test_a_pause_under_the_bound_and_one_over_it(tmp_path: Path) -> None:
     with five(tmp_path) as made:
         play(made, [Step(0.0, "pause", (0,)), Step(2.0, "wake", (0,))])
-        made.record.until(lambda: bool(made[0].said("away for")), SOON_S, "it knows that it slept")
+        made.record.until(lambda: bool(made[0].said("away for")), SOON_S, "it knows that it was paused")
         later_kill(made, 4, made.routers[:4])
         assert dead(made) == {"r4"}
         made[0].pause()
         made.until_agreed(made.routers[1:4], SOON_S)
         made[0].wake()
         made.until_agreed(made.routers[:4], SOON_S)
-        assert made[0].said("was held for dead")
+        assert made[0].said("was declared dead by other members")
         assert (
             len(
                 [
@@ -114,7 +114,7 @@
 
 
 def test_all_paused_at_once(tmp_path: Path) -> None:
-    with five(tmp_path) as made:  # the first is suspect already when the others begin to sleep
+    with five(tmp_path) as made:  # the first is suspect when the others are paused
         play(
             made,
             [Step(0.0, "pause", (0,)), Step(2.0, "pause", (1, 2, 3, 4)), Step(7.0, "wake", tuple(range(5)))],
@@ -165,7 +165,11 @@
     with five(tmp_path) as made:
         made.hub.cut(["r0"], ["r1", "r2", "r3", "r4"], both=False)
         made.until_agreed(made.routers[1:], SOON_S)
-        made.record.until(lambda: bool(made[0].said("was held for dead")), SOON_S, "it learns that it is out")
+        made.record.until(
+            lambda: bool(made[0].said("was declared dead by other members")),
+            SOON_S,
+            "it learns that it was removed",
+        )
         made.hub.heal()
         made.until_agreed(seconds=SOON_S)
 
@@ -200,7 +204,7 @@
     try:
         made[4].start()
         made[4].until_started()
-        assert made[4].said("begins alone") and made.agreed([made[4]])
+        assert made[4].said("starting as the only member") and made.agreed([made[4]])
         for router in made.routers[:4]:
             router.start()
         made.until_agreed(made.routers, SOON_S)
@@ -209,7 +213,7 @@
 
 
 def test_forged_and_replayed_datagrams(tmp_path: Path) -> None:
-    """A key of another installation, a newer version, no message at all, and its own datagrams once more."""
+    """Rejects a foreign key, a newer version, data that is no message, and replays of its own datagrams."""
     with five(tmp_path) as made:
         caught = made.hub.tapped.setdefault("r0", [])
         made.record.until(lambda: any(made.record.of("tapped")), SOON_S, "datagrams")
@@ -225,7 +229,11 @@
             for _ in range(5):
                 for data in caught:
                     forger.sendto(data, real)
-        lines = ("a key that this installation", "speaks version 2", "no message of a member")
+        lines = (
+            "signature matches no key of this installation",
+            "uses protocol version 2",
+            "not a message of a member",
+        )
         made.record.until(lambda: all(made[0].said(x) for x in lines), SOON_S, "one line each")
         later_kill(made, 4, made.routers[:4])
         told = made[0].status()["members"]
@@ -240,18 +248,18 @@
         made.until_agreed(seconds=SOON_S)
         text = (made[4].folder / "config.json").read_text().replace('"name": "r4"', '"name": "r1"')
         (made[4].folder / "config.json").write_text(text)
-        twin = subprocess.Popen(
+        duplicate = subprocess.Popen(
             [sys.executable, *guards.program(), "serve", "--site", str(made[4].folder / "site.toml")],
             cwd=ROOT,
             stderr=subprocess.PIPE,
             text=True,
             env={**os.environ, "LB_CONFIG": str(made[4].folder / "config.json")},
         )
-        limit = threading.Timer(SOON_S, twin.kill)  # its log ends then, and the test with it
+        limit = threading.Timer(SOON_S, duplicate.kill)  # ends its log and thereby the test
         limit.start()
         try:
-            assert twin.stderr is not None
-            for line in twin.stderr:
+            assert duplicate.stderr is not None
+            for line in duplicate.stderr:
                 if "members: listening" in line:
                     made.hub.attach(
                         "r4",
@@ -260,18 +268,22 @@
                             int(line.split("members: listening on ")[1].split(",")[0].split(":")[1]),
                         ),
                     )
-                if "is another living router's" in line:
+                if "the name r1 is already used by another running router" in line:
                     break
             else:
-                raise AssertionError("the later one did not see it")
-            made.record.until(lambda: bool(made[1].said("calls itself r1")), SOON_S, "the other sees it")
+                raise AssertionError("the later router did not detect the duplicate name")
+            made.record.until(
+                lambda: bool(made[1].said("another router uses the name r1 too")),
+                SOON_S,
+                "the other detects it",
+            )
             assert made.agreed(made.routers[:4])
         finally:
             limit.cancel()
-            twin.kill()
-            twin.wait()
-            assert twin.stderr is not None
-            twin.stderr.close()
+            duplicate.kill()
+            duplicate.wait()
+            assert duplicate.stderr is not None
+            duplicate.stderr.close()
 
 
 def test_half_of_the_members_killed_within_100_ms(tmp_path: Path) -> None:
@@ -281,7 +293,7 @@
         made.until_agreed(made.routers[1::2], SOON_S)
         assert dead(made) == {"r0", "r2", "r4", "r6"}
         reasons = [x.told["reason"] for x in made.record.of("changed") if x.told["to"] == "dead"]
-        assert any("refuses connections" in x for x in reasons), reasons  # and not by silence alone
+        assert any("refuses connections" in x for x in reasons), reasons  # not only by silence
 
 
 def test_a_schedule_drawn_from_a_seed_breaks_no_promise(tmp_path: Path) -> None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership's decisions in virtual time: the real core on a modelled network, each fault it is meant for."""
+"""The membership protocol in virtual time: the real core on a simulated network, for each kind of fault."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from cloverhinge.members.table import MAX_RECORDS, MemberTable
 from cloverhinge.members.wire import Record, State
 
-BOUND_MS = 3500.0  # a pause under this removes nobody (docs/design/members.md)
+BOUND_MS = 3500.0  # a shorter pause removes no member (docs/design/members.md)
 ALL_KNOW_MS = 2000.0
 HEALED_MS = 3000.0
-OUT_MS = 7000.0  # by when a silent member is out everywhere
+OUT_MS = 7000.0  # after which a silent member has been removed everywhere
 
 
 def begun(count: int, seed: int = 1, sites: int = 1, way: Way | None = None) -> World:
@@ -48,30 +48,30 @@
 @pytest.mark.parametrize("count", [2, 3, 5, 16])
 def test_a_pause_under_the_bound_removes_nobody_one_over_it_is_one_removal_and_return(count: int) -> None:
     world = begun(count)
-    sleeper = world.routers[0]
-    world.net.pause(sleeper.process)
+    paused = world.routers[0]
+    world.net.pause(paused.process)
     world.net.run(BOUND_MS - 100.0)
-    world.net.wake(sleeper.process)
+    world.net.wake(paused.process)
     world.net.run(5000.0)
-    assert not world.told("dead") and world.agreed() and len(sleeper.away) == 1
-    world.net.pause(sleeper.process)
+    assert not world.told("dead") and world.agreed() and len(paused.away) == 1
+    world.net.pause(paused.process)
     world.net.run(OUT_MS)
     others = world.routers[1:]
     assert world.agreed(others)
-    world.net.wake(sleeper.process)
+    world.net.wake(paused.process)
     world.until_agreed(HEALED_MS)
     world.net.run(5000.0)
     assert world.agreed()
-    assert sorted((x.by, x.what.name) for x in world.told("dead")) == [(x.name, sleeper.name) for x in others]
+    assert sorted((x.by, x.what.name) for x in world.told("dead")) == [(x.name, paused.name) for x in others]
     assert all(len([x for x in world.told("returned") if x.by == y.name]) == 1 for y in world.routers)
-    assert len(sleeper.voided) == 1 and len(sleeper.away) == 2
+    assert len(paused.voided) == 1 and len(paused.away) == 2
 
 
 def test_all_paused_at_once_accuse_nobody() -> None:
-    """Guards from the timers of those who slept."""
+    """Paused routers must not remove others because of their own expired timers."""
     world = begun(8)
     world.net.pause(world.routers[0].process)
-    world.net.run(2000.0)  # under suspicion already when the others begin to sleep
+    world.net.run(2000.0)  # it is suspect when the others are paused
     for router in world.routers[1:]:
         world.net.pause(router.process)
     world.net.run(20_000.0)
@@ -103,7 +103,7 @@
     assert world.agreed()
     assert {x.members.table.records["r002"].incarnation for x in world.routers} == {2}
     before = [x.members.view() for x in world.routers]
-    for body in late:  # the old self's datagrams arrive now
+    for body in late:  # late datagrams of the previous run
         for other in (world.routers[0], world.routers[2]):
             other.act(other.members.receive(world.net.now, wire.decode(body)), world.routers[2].address)
     world.net.run(4000.0)
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("deaf", [True, False])
 def test_a_member_that_hears_nobody_or_that_nobody_hears_is_out_once_and_learns_it(deaf: bool) -> None:
-    """Guards from flapping: it comes back when the cut heals, and not before."""
+    """The member returns once the links are repaired, and not before, so that it does not flap."""
     world = begun(5)
     one, others = world.routers[0], world.routers[1:]
     for other in others:
@@ -154,7 +154,7 @@
     ]
     assert not [x for x in world.told("returned") if x.by != one.name]
     if not deaf:
-        assert one.voided, "it hears what the others hold of it"
+        assert one.voided, "it receives the others' record of it"
     world.net.heal()
     world.until_agreed(HEALED_MS)
     world.net.run(5000.0)
@@ -200,7 +200,7 @@
     world.routers[3].start()
     world.net.run(3000.0)
     assert world.routers[3].members.view().names == ("r003",)
-    assert any("begins alone" in x for x in world.routers[3].said)
+    assert any("starting as the only member" in x for x in world.routers[3].said)
     for router in world.routers[:3]:
         router.start()
     world.until_agreed(5000.0)
@@ -208,46 +208,46 @@
 
 def test_two_routers_of_one_name_the_later_one_stays_out_and_both_say_it() -> None:
     world = begun(4)
-    twin = Router(world, "r001", "s0", ("127.9.9.9", 7000), world.routers[1].join)
-    world.by_address[twin.address] = twin
-    twin.start()
+    duplicate = Router(world, "r001", "s0", ("127.9.9.9", 7000), world.routers[1].join)
+    world.by_address[duplicate.address] = duplicate
+    duplicate.start()
     world.net.run(10_000.0)
-    assert not twin.members.joined and world.agreed(world.routers)
-    assert any("is another living router's" in x for x in twin.said)
-    assert any("calls itself r001" in x for x in world.routers[1].said)
+    assert not duplicate.members.joined and world.agreed(world.routers)
+    assert any("the name r001 is already used by another running router" in x for x in duplicate.said)
+    assert any("another router uses the name r001 too" in x for x in world.routers[1].said)
     world.routers[1].kill()
     world.net.run(15_000.0)
-    assert twin.members.joined and world.agreed([world.routers[0], twin, *world.routers[2:]])
+    assert duplicate.members.joined and world.agreed([world.routers[0], duplicate, *world.routers[2:]])
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_a_member_stays_though_a_process_of_its_name_answers_in_another_s_place(seed: int) -> None:
-    """Members go on calling the address of one that died; the answer of who is no member puts nobody out."""
+    """Members keep sending to the address of a dead one; an answer of a non-member there removes nobody."""
     world = begun(4, seed)
     world.routers[3].kill()
     world.net.run(5000.0)
-    twin = Router(world, "r001", "s0", world.routers[3].address, world.routers[1].join)
-    world.by_address[twin.address] = twin
-    twin.start()
+    duplicate = Router(world, "r001", "s0", world.routers[3].address, world.routers[1].join)
+    world.by_address[duplicate.address] = duplicate
+    duplicate.start()
     world.net.run(12_000.0)
-    assert world.routers[1].members.joined and not twin.members.joined
+    assert world.routers[1].members.joined and not duplicate.members.joined
     assert world.agreed(world.routers[:3])
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_of_two_that_start_with_one_name_one_comes_in(seed: int) -> None:
     world = World(4, seed)
-    twin = Router(world, "r001", "s0", ("127.9.9.9", 7000), world.routers[1].join)
-    world.by_address[twin.address] = twin
-    for router in (*world.routers, twin):
+    duplicate = Router(world, "r001", "s0", ("127.9.9.9", 7000), world.routers[1].join)
+    world.by_address[duplicate.address] = duplicate
+    for router in (*world.routers, duplicate):
         router.start()
     world.net.run(20_000.0)
-    assert world.routers[1].members.joined is not twin.members.joined
+    assert world.routers[1].members.joined is not duplicate.members.joined
 
 
 def test_facts_reach_all_and_what_was_lost_is_healed() -> None:
     world = begun(16, way=Way(loss=0.3))
-    with pytest.raises(ValueError, match="600 bytes, 512 at most"):
+    with pytest.raises(ValueError, match="facts of 600 bytes exceed the maximum of 512 bytes"):
         world.routers[0].members.publish(world.net.now, bytes(600))
     for n in range(5):
         world.routers[0].act(world.routers[0].members.publish(world.net.now, b"fact %d" % n))
@@ -268,7 +268,7 @@
 
 
 def test_a_common_start_makes_no_herd_of_timers() -> None:
-    """Guards the network and the cores from members that were started in the same instant."""
+    """Members started at the same instant must not send in bursts."""
     world = begun(16)
     slices = []
     for _ in range(80):
@@ -289,17 +289,17 @@
 
 
 def test_whoever_acts_after_a_pause_is_told_of_it_first() -> None:
-    """Guards parts that act between two ticks: `awake` tells them of it before anything is sent."""
+    """Components act between two ticks; `check_pause` reports the pause before anything is sent."""
     world = begun(3)
-    sleeper = world.routers[0]
-    world.net.pause(sleeper.process)
+    paused = world.routers[0]
+    world.net.pause(paused.process)
     world.net.run(2000.0)
-    told = sleeper.members.check_pause(world.net.now)
+    told = paused.members.check_pause(world.net.now)
     assert isinstance(told[0], core.ProcessPaused) and told[0].ms > 1900.0
-    assert not sleeper.members.trusted, "it asks before it acts"
-    world.net.wake(sleeper.process)
+    assert not paused.members.trusted, "it has to resync before it acts"
+    world.net.wake(paused.process)
     world.net.run(1500.0)
-    assert sleeper.members.trusted and not sleeper.away, "told once"
+    assert paused.members.trusted and not paused.away, "the pause is reported once"
 
 
 def test_two_keys_are_taken_while_one_is_changed_and_no_other() -> None:
@@ -351,7 +351,7 @@
 
 @given(RECORDS, st.randoms())
 def test_the_order_in_which_news_come_does_not_matter(records: list[Record], random: object) -> None:
-    """Guards the agreement: whoever has heard the same holds the same view, number and digest."""
+    """Routers that have received the same records have the same view, number and digest."""
     tables = []
     for _ in range(2):
         table = MemberTable()
@@ -359,7 +359,7 @@
             if table.supersedes(record):
                 before = table.number
                 table.put(record)
-                assert table.number >= before, "a view's number only grows"
+                assert table.number >= before, "a view's number only increases"
         tables.append(table)
         random.shuffle(records)  # type: ignore[attr-defined]
     assert tables[0].view() == tables[1].view()
@@ -382,7 +382,7 @@
 def test_after_any_schedule_and_a_quiet_time_all_agree(
     count: int, seed: int, acts: list[tuple[str, int, int, int]]
 ) -> None:
-    """Agreement after quiet, no removal without a cause, incarnations only grow."""
+    """Agreement once faults end, no removal without a cause, incarnations that only increase."""
     if count == 64:
         acts = acts[:3]
     world, cause = World(count, seed), False
@@ -401,7 +401,7 @@
     def end(one: Router) -> None:
         one.kill()
         for key in [x for x in highest if x[0] == one.name]:
-            del highest[key]  # what it knew is gone with it
+            del highest[key]  # a killed router forgets the incarnations it knew
 
     for act, first, second, ms in acts:
         one, other = world.routers[first % count], world.routers[second % count]
