--- a/cloverhinge/core/__init__.py
+++ b/cloverhinge/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes; knows no wire."""
+"""The router's core: requests, sessions and attempts, independent of any wire protocol."""
--- a/cloverhinge/core/clock.py
+++ b/cloverhinge/core/clock.py
@@ -1,4 +1,4 @@
-"""The program's one clock: Unix time in milliseconds, as a floating-point number."""
+"""The only clock of the process: Unix time in milliseconds, as a floating-point number."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 
 class Clock:
-    """Follows the system: the Unix time of the start plus what the monotonic clock has counted since.
+    """The Unix time of the start plus the monotonic time that has passed since.
 
-    Guards against a stepped system clock, which would move every deadline that is out.
+    A step of the system clock therefore does not move the pending deadlines.
     """
 
     def __init__(self) -> None:
         self._offset = time.time() * 1000.0 - time.monotonic() * 1000.0
 
     def now(self) -> float:
+        """Unix time in milliseconds; never goes back."""
         return self._offset + time.monotonic() * 1000.0
 
 
 class ManualClock(Clock):
-    """Stands still until a test sets it."""
+    """A clock for tests, which moves only when it is told to."""
 
     def __init__(self, now: float = 1_000_000.0) -> None:
         self.time = now
@@ -28,13 +29,15 @@
         return self.time
 
     def advance(self, ms: float) -> None:
+        """Move the clock forward."""
         self.time += ms
 
 
 def to_us(ms: float) -> int:
-    """The module counts whole microseconds; only calls into it and out of it convert."""
+    """Milliseconds to whole microseconds, the unit of the decision module; only calls into it convert."""
     return round(ms * 1000.0)
 
 
 def to_ms(us: int) -> float:
+    """Microseconds of the decision module to milliseconds."""
     return us / 1000.0
--- a/cloverhinge/core/deadlines.py
+++ b/cloverhinge/core/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines in one ordered structure, driven by one timer of the reactor."""
+"""All deadlines of the process in one ordered structure, driven by a single timer of the reactor."""
 
 from __future__ import annotations
 
@@ -13,16 +13,22 @@
 
 
 class Timer(Protocol):
-    def cancel(self) -> Any: ...
+    """A pending call of the reactor."""
+
+    def cancel(self) -> Any:
+        """Cancel the call."""
+        ...
 
 
 class Deadlines:
+    """Calls functions at given times; those that are due at the same time, in the order of scheduling."""
+
     def __init__(
         self,
         clock: Clock,
         call_later: Callable[[float, Callable[[], None]], Timer] | None = None,
     ) -> None:
-        """`call_later` takes seconds; without it, a test calls `run` itself."""
+        """`call_later` takes seconds; without it, the caller (a test) has to call `run`."""
         self.clock = clock
         self._call_later = call_later
         self._due: SortedDict[DeadlineKey, Callable[[], None]] = SortedDict()
@@ -35,6 +41,7 @@
         return len(self._due)
 
     def schedule(self, at_ms: float, call: Callable[[], None]) -> DeadlineKey:
+        """Call a function at a Unix time in milliseconds; returns the key for `cancel`."""
         self._count += 1
         key = (at_ms, self._count)
         self._due[key] = call
@@ -42,15 +49,16 @@
         return key
 
     def after(self, ms: float, call: Callable[[], None]) -> DeadlineKey:
+        """Call a function after this many milliseconds; returns the key for `cancel`."""
         return self.schedule(self.clock.now() + ms, call)
 
     def cancel(self, key: DeadlineKey | None) -> None:
-        """Safe for one that has passed, or for None."""
+        """Cancel a deadline; no effect for one that has passed, or for None."""
         if key is not None and self._due.pop(key, None) is not None:
             self._update_timer()
 
     def run(self) -> None:
-        """Call everything that is due.  What a call arms anew waits for the next run."""
+        """Call everything that is due.  Deadlines that these calls schedule wait for the next run."""
         self._timer, self._running = None, True
         try:
             now = self.clock.now()
--- a/cloverhinge/core/invariants.py
+++ b/cloverhinge/core/invariants.py
@@ -1,14 +1,17 @@
-"""What must hold: asserted in debug builds, counted in release builds (`python -O`)."""
+"""Invariants: asserted in debug builds, counted in release builds (`python -O`)."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-violations: Counter[str] = Counter()
+violations: Counter[str] = Counter()  # by invariant; the status shows them
 
 
 def check_invariant(condition: bool, name: str) -> bool:
-    """Tell whether a condition holds; callers take their safe way out where it does not."""
+    """Return the condition, and count a violation under `name` if it is false.
+
+    Callers then use a safe fallback.  Raises AssertionError in debug builds.
+    """
     if not condition:
         violations[name] += 1
     assert condition, name
--- a/cloverhinge/core/model.py
+++ b/cloverhinge/core/model.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and outcomes, and the two ports through which wires are joined to the core."""
+"""Requests, attempts and counters, and the ports that connect wire protocols and components to the core."""
 
 from __future__ import annotations
 
@@ -12,42 +12,44 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUpRequest:
-    """What a viewer wants, as any front reads it."""
+    """What a viewer asks for, independent of the wire protocol.  Times are in milliseconds."""
 
-    session_id: str  # the session's id, as the wires carry it
+    session_id: str  # as on the wire
     class_name: str
     title: str
     first_cell: int
     copies: int
     ceiling: int
-    wait_ms: float  # how long the viewer waits for the answer
-    body: bytes = b""  # its description, for the box alone
+    wait_ms: float  # how long the client waits for the answer
+    body: bytes = b""  # a description that only the media server reads
     length_ms: float = 0.0
     viewer_id: str = ""
     returning: bool = False
-    peer_address: str = ""  # the viewer's address
-    client_number: int = -1  # the door's number of the client that vouched for it; -1 = go by the address
-    reservation_token: str = ""  # of an earlier quote
-    retry_after_step_ms: float = 1.0  # the wire tells holds-off in steps of so much
-    record_id: str = ""  # under which custody keeps it; none: under its name
+    peer_address: str = ""  # of the connection's client
+    client_number: int = -1  # admission's number of the client that vouched for it; -1 = use the address
+    reservation_token: str = ""  # of an earlier retry-after estimate
+    retry_after_step_ms: float = 1.0  # granularity of retry-after times on the wire
+    record_id: str = ""  # key of its ownership record; empty = its session id
 
 
 class State(Enum):
-    OPEN = "open"  # a final answer is owed
+    """State of a request and of the session that results from it."""
+
+    OPEN = "open"  # the final answer is still to be sent
     ESTABLISHED = "stands"
     OVER = "over"
 
 
 class Presence(Enum):
-    """What is known of a client at the moment at which an attempt for it would leave."""
+    """What is known of a client at the moment at which an attempt for it would be sent."""
 
     PRESENT = "there"
-    UNREAD = "unread"  # it has sent something that has not been read, which may be a cancellation
+    UNREAD = "unread"  # it has sent input that has not been read yet, which may be a cancellation
     GONE = "gone"  # it has closed its connection
 
 
 class Cause(Enum):
-    """Why a session that stood is over."""
+    """Why an established session has ended, with the number that the wire carries."""
 
     ENDED = 16
     CANCELLED = 31
@@ -56,9 +58,9 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Requests of one class by their end, and attempts of it handed to boxes, since the start of the program.
+    """Requests of one class by result, and its attempts sent to media servers, since the process started.
 
-    A request whose viewer has left before its end stands under none.
+    A request whose viewer left before the answer is counted under no result.
     """
 
     ok: int = 0
@@ -69,40 +71,44 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
+    """A set-up request with its progress, and then the session that it led to.  Times are in milliseconds."""
+
     set_up: SetUpRequest
     service_class: ServiceClass
     client: ClientPort
     servers: ServerPort
     received_ms: float
     expires_ms: float
-    tally: Tally  # its end is counted there
+    tally: Tally  # counts its result
     handle: int = 0
     state: State = State.OPEN
     attempts: int = 0
-    attempt: Attempt | None = None  # the one that is out
+    attempt: Attempt | None = None  # the pending one
     may_have_run: bool = False
     last_outcome: Outcome | None = None
-    server: int | None = None  # where it stands
+    server: int | None = None  # the media server at which the session is established
     rung: int | None = None  # None = the lowest of the class
-    deadline: DeadlineKey | None = None
+    deadline: DeadlineKey | None = None  # at which it is failed if it is still open
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One try to set a session up at one media server.  Times are in milliseconds."""
+
     request: Request
     number: int
     server: int
     started_ms: float
     until_ms: float
-    written: bool = False  # its first byte has been handed to the network
-    ended_by_sender: bool = False  # its way is asking whether it may be written, and ends it itself
-    held_since_ms: float | None = None  # kept from the network since then, until its client has been read
+    written: bool = False  # its first byte has been passed to the network
+    ended_by_sender: bool = False  # the sender has asked `Router.may_write`, and ends it itself on False
+    held_since_ms: float | None = None  # held back since then, until its client's input has been read
     deadline: DeadlineKey | None = None
 
 
 @dataclass(slots=True)
 class Counters:
-    """Since the start of the program."""
+    """Counts since the start of the process; the field names are keys of the status."""
 
     tallies: dict[str, Tally] = field(default_factory=dict)  # by class
     taken: int = 0
@@ -117,97 +123,150 @@
 
     @property
     def served(self) -> int:
-        return sum(one.ok for one in self.tallies.values())
+        """Requests whose sessions were established."""
+        return sum(tally.ok for tally in self.tallies.values())
 
     @property
     def refused(self) -> int:
-        return sum(one.shed for one in self.tallies.values())
+        """Requests that were refused."""
+        return sum(tally.shed for tally in self.tallies.values())
 
     @property
     def failed(self) -> int:
-        return sum(one.errors for one in self.tallies.values())
+        """Requests that failed."""
+        return sum(tally.errors for tally in self.tallies.values())
 
     def as_status(self) -> dict[str, Any]:
-        """All of it by name, for those who look."""
+        """All counters by name, as the status shows them."""
         return asdict(self) | {"served": self.served, "refused": self.refused, "failed": self.failed}
 
     def count_outcome(self, outcome: Outcome) -> None:
+        """Count one attempt that ended with this outcome."""
         self.outcomes[outcome.value] = self.outcomes.get(outcome.value, 0) + 1
 
 
 @dataclass(slots=True)
 class MaintenanceEntry:
-    """A box left out by hand: since when, and as the list has it meanwhile, where it does."""
+    """A media server in maintenance mode: since when, and its current listing (None if it is not listed)."""
 
     since_us: int
     listing: ServerListing | None
 
 
 class ClientPort(Protocol):
-    """Towards whoever asked.  Exactly one of the first three is called, unless the viewer has left."""
+    """Towards the client that sent a set-up request.
+
+    Exactly one of `served`, `refused` and `failed` is called, unless the viewer has left.
+    """
 
     def presence(self) -> Presence:
-        """Whether the client is still there, as its connection shows at this moment."""
+        """Whether the client is still connected, as its connection shows at this moment."""
 
     def left(self, may_have_run: bool) -> None:
-        """The core found it gone and has ended its request; whether an attempt for it may have run."""
+        """The core found the client gone and has ended its request, of which an attempt may have run."""
+
+    def served(self, answer: bytes) -> None:
+        """The session is established; `answer` is the media server's."""
+        ...
+
+    def refused(self, retry_after_ms: float, reservation_token: str = "") -> None:
+        """The request was refused; the client may try again after this time, 0 = no time is given."""
+        ...
+
+    def failed(self, outcome: Outcome | None) -> None:
+        """The request failed; `outcome` is that of its last attempt, if there was one."""
+        ...
+
+    def released(self, cause: Cause) -> None:
+        """The established session has ended."""
+        ...
 
-    def served(self, answer: bytes) -> None: ...
-    def refused(self, hold_off_ms: float, ticket: str = "") -> None: ...
-    def failed(self, why: Outcome | None) -> None: ...
-    def released(self, cause: Cause) -> None: ...
-    def moved(self) -> None: ...
+    def moved(self) -> None:
+        """The session was ended so that it can be set up at another media server."""
+        ...
 
 
 class ServerPort(Protocol):
-    """Towards the boxes, over one wire."""
+    """Towards the media servers, over one wire protocol."""
 
     def set_up(self, attempt: Attempt) -> None:
-        """Send it once `Router.may_write` says so; report to `answered` or `attempt_ended`."""
+        """Send the attempt once `Router.may_write` allows it; report to `answered` or `attempt_ended`."""
 
-    def give_up(self, attempt: Attempt) -> None: ...
-    def release(self, request: Request, cause: Cause) -> None: ...
-    def set_rung(self, request: Request, rung: int) -> None: ...
+    def give_up(self, attempt: Attempt) -> None:
+        """Cancel an attempt that may have been sent; its end need not be reported."""
+        ...
+
+    def release(self, request: Request, cause: Cause) -> None:
+        """Tell the media server to end the session."""
+        ...
+
+    def set_rung(self, request: Request, rung: int) -> None:
+        """Tell the media server to send the session at this rung of the ladder."""
+        ...
 
 
 class AdmissionPort(Protocol):
-    """Stands before the core where the site wants one: who is let in, and what is quoted to others."""
+    """Optional admission control: which requests are admitted, and retry-after estimates for the others."""
 
     def arrive(self, request: Request) -> None:
-        """Call `Router.admit` or `Router.turn_away` for it, now or later but within its time."""
+        """Call `Router.admit` or `Router.reject` for the request, now or later, but before it expires."""
+
+    def refused(self, request: Request, retry_after_ms: float) -> tuple[float, str]:
+        """The decision module refused it: return the retry-after estimate and reservation token to send."""
+
+    def established(self, request: Request) -> None:
+        """Its session is established, or was handed over by another router."""
+        ...
 
-    def refused(self, request: Request, hold_off_ms: float) -> tuple[float, str]:
-        """The module refused it: the hold-off and the ticket to tell."""
+    def rung_changed(self, request: Request) -> None:
+        """The decision module has chosen another rung, which may be the same one."""
+        ...
 
-    def established(self, request: Request) -> None: ...
-    def rung_changed(self, request: Request) -> None: ...
-    def ended(self, request: Request) -> None: ...
-    def fleet_changed(self) -> None: ...
+    def ended(self, request: Request) -> None:
+        """The request was refused, failed or cancelled, or its session has ended."""
+        ...
+
+    def fleet_changed(self) -> None:
+        """The list of media servers has changed."""
+        ...
 
 
 class OwnershipPort(Protocol):
-    """Sees to it that other routers know of the work in hand, where the site wants that."""
+    """Optional replication: other routers know this one's requests and sessions, and can take them over."""
 
     def prepare(self, attempt: Attempt) -> None:
-        """Call `Router.send` once its intent is kept as it has to be, or `Router.unkept`."""
+        """Call `Router.send` once its prepared record is sufficiently replicated, else `conclude_unsent`."""
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Whether this router still has the work, asked right before the first byte."""
+        """Whether this router still owns the request; called right before the first byte is written."""
 
     def may_establish(self, attempt: Attempt, answer: bytes) -> bool:
-        """Whether it may stand here; otherwise `Router.answered` is called again once that is known."""
+        """Whether the session may be established here.
+
+        If this is not known yet, the result is False, and `Router.answered` is called again once it is.
+        """
 
     def established(self, request: Request, answer: bytes) -> None:
-        """Call its viewer's `served` once that is kept, or soon."""
+        """Call the client's `served` once the record of the session is replicated, or after a short time."""
+
+    def adopted(self, request: Request) -> None:
+        """A session that plays already was taken over."""
+        ...
 
-    def adopted(self, request: Request) -> None: ...
-    def rung_changed(self, request: Request) -> None: ...
-    def ended(self, request: Request) -> None: ...
+    def rung_changed(self, request: Request) -> None:
+        """An established session is sent at another rung."""
+        ...
+
+    def ended(self, request: Request) -> None:
+        """The request was refused, failed or cancelled, or its session has ended."""
+        ...
 
     def release(self, request: Request, cause: Cause) -> None:
-        """Tell its box, once it is certain that the session is not another router's by now."""
+        """Tell its media server, once it is certain that no other router owns the session by now."""
 
 
 class Prober(Protocol):
+    """Sends probes to media servers."""
+
     def probe(self, server: int) -> None:
-        """Report to `Router.probed`, in any case."""
+        """Probe a media server, and report to `Router.probed` in any case."""
--- a/cloverhinge/core/router.py
+++ b/cloverhinge/core/router.py
@@ -1,7 +1,7 @@
-"""The router: feeds events to the decision module, carries out its actions, and keeps the rules.
+"""The router's core: feeds events to the decision module, executes its actions, and enforces the rules.
 
-Each guard below says what it is for.  A guard that has to act shows a defect elsewhere, so it goes through
-`holds`: an assertion in debug builds, a counter and the safe way out in release builds.
+Each safety check below says what it prevents.  A check that has to act reveals a defect elsewhere, so it goes
+through `check_invariant`: an assertion in debug builds, a counter and a safe fallback in release builds.
 """
 
 from __future__ import annotations
@@ -36,47 +36,58 @@
 from cloverhinge.decision.interface import Effect, Health, Outcome
 from cloverhinge.decision.logic import Controller
 
-ANSWER_MARGIN_MS = 60.0  # an answer is on its way so long before the viewer stops waiting
-OVERDUE_MARGIN_MS = 25.0  # and whatever happens, so long before
-UNREPLICATED_RETRY_MS = (
-    1000.0  # told to one whose intent could not be kept: a lost router's part is taken over by then
-)
-MAX_UNREAD_WAIT_MS = (
-    20.0  # a client's unread input is read first for so long; a fifth of the time that counts
-)
-UNREAD_POLL_MS = 1.0  # pace at which it is looked at again
-GIVE_UP_DELAY_MS = 8.0  # a box hears so soon that an attempt is given up; only then may another one go out
+ANSWER_MARGIN_MS = 60.0  # an answer is sent at least this long before the client stops waiting
+OVERDUE_MARGIN_MS = 25.0  # a request that is still open is failed this long before the client stops waiting
+# Retry-after for a request whose prepared record could not be replicated: by then, other routers have taken
+# over the share of a lost one.
+UNREPLICATED_RETRY_MS = 1000.0
+# An attempt waits this long at most for the client's unread input to be read first: a fifth of the time that
+# counts.
+MAX_UNREAD_WAIT_MS = 20.0
+UNREAD_POLL_MS = 1.0  # interval at which an attempt that waits for this input is tried again
+# A give-up reaches the media server within this time; only then may the next attempt be sent.
+GIVE_UP_DELAY_MS = 8.0
 CAUSES = {Outcome.SERVED: Cause.ENDED, Outcome.RESET: Cause.CUT, Outcome.CANCELLED: Cause.CANCELLED}
 
 
 class Router:
+    """Holds all requests and sessions of this process and connects the decision module with the ports.
+
+    Times are in milliseconds; the decision module uses microseconds.
+    """
+
     log = Logger()
 
     def __init__(
         self, settings: api.Settings, seed: int, clock: Clock, deadlines: Deadlines, max_requests: int = 4096
     ) -> None:
+        """`seed` is for the decision module's random choices.  `max_requests` bounds open requests and
+        established sessions together."""
         self.settings, self.clock, self.deadlines = settings, clock, deadlines
-        self.classes = {one.name: one for one in settings.classes}
+        self.classes = {service_class.name: service_class for service_class in settings.classes}
         self.controller = Controller(settings, seed)
         self.requests: SlotTable[Request] = SlotTable(max_requests)
         self.by_session_id: dict[str, Request] = {}
         self.by_title: dict[str, set[Request]] = {}
         self.established: dict[int, dict[int, Request]] = {}  # by server, then by handle
-        self.listings: dict[int, api.ServerListing] = {}  # those left out by hand as draining
-        self.maintenance: dict[int, MaintenanceEntry] = {}  # by hand
-        self.counters = Counters({one: Tally() for one in self.classes})
+        self.listings: dict[int, api.ServerListing] = {}  # servers in maintenance mode are listed as draining
+        self.maintenance: dict[int, MaintenanceEntry] = {}  # servers that an operator put in maintenance mode
+        self.counters = Counters({class_name: Tally() for class_name in self.classes})
         self.prober: Prober | None = None
         self.admission: AdmissionPort | None = None
         self.ownership: OwnershipPort | None = None
-        self.on_concluded: Callable[[], None] = lambda: None  # told whenever an open request is concluded
+        self.on_concluded: Callable[[], None] = lambda: None  # called whenever an open request is concluded
         self.open_requests = 0
         self._events: deque[api.Event] = deque()
         self._dispatching = False
 
-    # Towards the module
+    # Decision module
 
     def dispatch(self, event: api.Event) -> None:
-        """Events go in one at a time; what an action brings about at once waits its turn."""
+        """Pass an event to the decision module and execute the actions that it returns.
+
+        Events are handled one at a time: an event that an action causes is queued until its turn.
+        """
         self._events.append(event)
         if self._dispatching:
             return
@@ -111,12 +122,15 @@
             case api.Log(text):
                 self.log.info("{text}", text=text)
             case api.Subscribe():
-                pass  # the change log is followed in any case
+                pass  # updates of the change log are received in any case
 
     # Requests
 
     def open_request(self, set_up: SetUpRequest, client: ClientPort, servers: ServerPort) -> Request | None:
-        """A new request; None where the table has no slot for it or its id is held already."""
+        """Register a new request and pass it on to admission, or to the decision module where there is none.
+
+        Returns None if all slots are taken or a request with its session id exists already.
+        """
         if self.requests.full or set_up.session_id in self.by_session_id:
             self.counters.tallies[set_up.class_name].shed += set_up.session_id not in self.by_session_id
             return None
@@ -134,11 +148,11 @@
         return request
 
     def admit(self, request: Request) -> None:
-        """The module decides on it from here on."""
+        """Pass the request to the decision module, which decides on it from here on."""
         self.dispatch(self._session_requested(request))
 
     def reject(self, request: Request, retry_after_ms: float, reservation_token: str) -> None:
-        """The door's answer to one that it did not let in, so nothing of it has run."""
+        """Refuse a request that admission did not admit, so that no attempt of it has run."""
         if check_invariant(
             request.state is State.OPEN and not request.attempts, "turned away before any attempt"
         ):
@@ -149,10 +163,11 @@
     def adopt(
         self, set_up: SetUpRequest, server: int, client: ClientPort, servers: ServerPort
     ) -> Request | None:
-        """A session that plays already.  One that is held already stays as it is.
+        """Take over a session that plays already.  One that this router holds already stays as it is.
 
-        Guards against sessions that nothing would ever end, as their box was never listed, and against new
-        requests that find the table full of handed-over ones.
+        Returns None if the session is not taken over.  Its client is told that it is cut where its media
+        server is not listed, as nothing would ever end such a session, or where half of the slots are taken,
+        so that sessions handed over leave room for new requests.
         """
         if set_up.session_id in self.by_session_id:
             return None
@@ -168,39 +183,41 @@
         self.dispatch(self._session_requested(request, server))
         return request
 
-    def _register(self, ask: SetUpRequest, viewer: ClientPort, boxes: ServerPort, now: float) -> Request:
+    def _register(
+        self, set_up: SetUpRequest, client: ClientPort, servers: ServerPort, now_ms: float
+    ) -> Request:
         request = Request(
-            ask,
-            self.classes[ask.class_name],
-            viewer,
-            boxes,
-            now,
-            now + max(0.0, ask.wait_ms - ANSWER_MARGIN_MS),
-            self.counters.tallies[ask.class_name],
+            set_up,
+            self.classes[set_up.class_name],
+            client,
+            servers,
+            now_ms,
+            now_ms + max(0.0, set_up.wait_ms - ANSWER_MARGIN_MS),
+            self.counters.tallies[set_up.class_name],
         )
         request.handle = self.requests.put(request)
-        self.by_session_id[ask.session_id] = request
-        self.by_title.setdefault(ask.title, set()).add(request)
+        self.by_session_id[set_up.session_id] = request
+        self.by_title.setdefault(set_up.title, set()).add(request)
         return request
 
     def _session_requested(self, request: Request, server: int | None = None) -> api.SessionRequested:
-        ask = request.set_up
+        set_up = request.set_up
         return api.SessionRequested(
             request.handle,
-            ask.class_name,
-            ask.title,
-            ask.first_cell,
-            ask.copies,
-            ask.ceiling,
+            set_up.class_name,
+            set_up.title,
+            set_up.first_cell,
+            set_up.copies,
+            set_up.ceiling,
             to_us(request.expires_ms),
-            viewer=ask.viewer_id,
-            length_us=to_us(ask.length_ms),
-            returning=ask.returning,
+            viewer=set_up.viewer_id,
+            length_us=to_us(set_up.length_ms),
+            returning=set_up.returning,
             server=server,
         )
 
     def viewer_left(self, request: Request) -> None:
-        """The viewer gives the set-up up, or ends the session; it is owed nothing more."""
+        """The viewer cancels the set-up or ends the session; it gets no further answer."""
         if request.state is State.OPEN:
             self.counters.left += 1
             attempt = request.attempt
@@ -211,25 +228,25 @@
             if attempt is not None:
                 self._report_ended(attempt, Outcome.CANCELLED, concluded=True)
         elif request.state is State.ESTABLISHED:
-            self._end(request, Outcome.CANCELLED, None, tell_box=True, tell_viewer=False)
+            self._end(request, Outcome.CANCELLED, None, tell_server=True, tell_client=False)
 
     # Attempts
 
     def _set_up(self, session: int, server: int, timeout_us: int) -> None:
         request = self.requests.get(session)
         if request is None or request.state is not State.OPEN:
-            return  # concluded by an event earlier in this round
+            return  # concluded by an earlier action of the same event
         now = self.clock.now()
-        until = request.expires_ms
+        until_ms = request.expires_ms
         if timeout_us > 0:
-            until = min(until, now + to_ms(timeout_us))
-        attempt = Attempt(request, request.attempts, server, now, until)
+            until_ms = min(until_ms, now + to_ms(timeout_us))
+        attempt = Attempt(request, request.attempts, server, now, until_ms)
         request.attempts += 1
         if not self._may_attempt(request, server):
             self._report_ended(attempt, Outcome.MOOT, concluded=False)
             return
         request.attempt = attempt
-        attempt.deadline = self.deadlines.schedule(until, lambda: self._timed_out(attempt))
+        attempt.deadline = self.deadlines.schedule(until_ms, lambda: self._timed_out(attempt))
         self.counters.attempts += 1
         if self.ownership is None:
             request.servers.set_up(attempt)
@@ -237,12 +254,19 @@
             self.ownership.prepare(attempt)
 
     def send(self, attempt: Attempt) -> None:
-        """Custody has what it wants, or the client has been read; the request may be concluded by now."""
+        """Send an attempt whose prepared record is replicated, or whose client's input has been read.
+
+        Does nothing if the attempt has ended or has been written meanwhile.
+        """
         if attempt.request.attempt is attempt and not attempt.written:
             attempt.request.servers.set_up(attempt)
 
     def conclude_unsent(self, request: Request, failed: bool = False) -> None:
-        """Nothing of it has left, and nothing will: custody can't keep it, or it has failed elsewhere."""
+        """Conclude a request of which nothing has been sent to a media server, and nothing will be.
+
+        Its prepared record can't be replicated, so it is refused; or, with `failed`, it has failed at another
+        router.
+        """
         if request.state is not State.OPEN:
             return
         attempt = request.attempt
@@ -262,21 +286,24 @@
             self._report_ended(attempt, Outcome.MOOT, concluded=True)
 
     def resume(self, request: Request, server: int, answer: bytes) -> None:
-        """What was asked for stands already, and is this router's from now on."""
+        """Answer a request whose session is already established, and own this session from now on."""
         if request.state is State.OPEN:
-            attempt, ask, viewer = request.attempt, request.set_up, request.client
+            attempt, set_up, client = request.attempt, request.set_up, request.client
             self._conclude(request)
             self.dispatch(api.ViewerLeft(request.handle))
             if attempt is not None:
                 self._report_ended(attempt, Outcome.MOOT, concluded=True)
-            if self.adopt(ask, server, viewer, request.servers) is not None:
+            if self.adopt(set_up, server, client, request.servers) is not None:
                 request.tally.ok += 1
-                viewer.served(answer)
+                client.served(answer)
 
     def hand_over(self, request: Request) -> None:
-        """Another router has it now, so neither its box nor its viewer is told anything of its end here."""
+        """Forget a session that another router owns now: neither its media server nor its viewer is told.
+
+        An open request is failed.
+        """
         if request.state is State.ESTABLISHED:
-            self._end(request, Outcome.CANCELLED, None, tell_box=False, tell_viewer=False)
+            self._end(request, Outcome.CANCELLED, None, tell_server=False, tell_client=False)
         elif request.state is State.OPEN:
             attempt, request.attempt = request.attempt, None
             if attempt is not None:
@@ -287,38 +314,40 @@
             self.dispatch(api.ViewerLeft(request.handle))
 
     def _may_attempt(self, request: Request, server: int) -> bool:
-        kind = request.service_class
-        seated = (
-            not kind.seats
+        service_class = request.service_class
+        has_seat = (
+            not service_class.seats
             or 1
             + sum(
                 1
                 for other in self.by_title[request.set_up.title]
                 if other is not request
-                and other.service_class is kind
+                and other.service_class is service_class
                 and (other.state is State.ESTABLISHED or other.attempt is not None)
             )
-            <= kind.seats
+            <= service_class.seats
         )
         return (
             check_invariant(request.attempt is None, "one attempt out at a time")
             and check_invariant(
-                not (request.may_have_run and kind.effect is Effect.ONCE), "paid set-up sent once"
+                not (request.may_have_run and service_class.effect is Effect.ONCE), "paid set-up sent once"
             )
             and check_invariant(request.attempts <= self.settings.max_attempts, "attempts within the limit")
-            and check_invariant(seated, "sessions within the seats")
+            and check_invariant(has_seat, "sessions within the seats")
             and self.sendable(server)
         )
 
     def sendable(self, server: int) -> bool:
+        """Whether new set-ups may be sent to this media server: it is listed and ready."""
         listing = self.listings.get(server)
         return listing is not None and listing.health is Health.READY
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Asked right before an attempt's first byte is written.
+        """Whether an attempt may be sent; called right before its first byte is written.
 
-        Guards the drain rule: a box may have been told draining or gone since the module chose it, while its
-        connection was being opened.  Where the answer is no, the attempt ends as one that never ran.
+        Enforces the drain rule: the media server may have been reported as draining or gone since the
+        decision module chose it, while its connection was being opened.  If the result is False, the attempt
+        ends as one that never ran, or is sent again later, once the client's input has been read.
         """
         if attempt.request.attempt is not attempt:
             return False
@@ -336,8 +365,11 @@
         return True
 
     def _client_present(self, attempt: Attempt) -> bool:
-        """Guards against attempts for clients that have gone: the word of it may lie unread behind what has
-        brought the attempt about.  Input that is unread is read first, for a bounded time."""
+        """Whether the attempt's client is still connected and has no unread input.
+
+        Prevents attempts for clients that have left: the close or cancellation may still be unread in a
+        socket, behind the event that caused the attempt.  Unread input is read first, for a limited time.
+        """
         request, now = attempt.request, self.clock.now()
         match request.client.presence():
             case Presence.GONE:
@@ -354,8 +386,11 @@
         return True
 
     def _timed_out(self, attempt: Attempt) -> None:
-        """Guards one attempt out at a time: the give-up and the next set-up travel on two connections, and
-        the set-up could arrive first."""
+        """Give the attempt up, and report its time-out only once the give-up has arrived.
+
+        Keeps attempts of a request from overlapping: the give-up and the next set-up travel on two
+        connections, and the set-up could arrive first.
+        """
         attempt.deadline = None
         if attempt.request.attempt is attempt:
             self._give_up(attempt)
@@ -363,7 +398,7 @@
                 attempt.deadline = self.deadlines.after(
                     GIVE_UP_DELAY_MS, lambda: self.attempt_ended(attempt, Outcome.TIMEOUT)
                 )
-            else:  # it can't have run, whatever became of its connection
+            else:  # nothing of it was written, so it can't have run
                 self._report_ended(attempt, Outcome.CONNECT_FAILED, False)
 
     def _give_up(self, attempt: Attempt) -> None:
@@ -394,12 +429,15 @@
         )
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, report: api.LoadReport | None = None) -> None:
-        """A box, or the way to it, ended an attempt without setting the session up."""
+        """The media server, or the connection to it, ended an attempt without setting the session up."""
         if attempt.request.attempt is attempt:
             self._report_ended(attempt, outcome, False, report)
 
     def answered(self, attempt: Attempt, answer: bytes) -> bool:
-        """The session stands.  False where the attempt is not out any more: the box has to release it."""
+        """The media server has set the session up: establish it and send the answer to the client.
+
+        Returns False if the attempt is no longer pending: the media server then has to release the session.
+        """
         request = attempt.request
         if request.attempt is not attempt or request.state is not State.OPEN:
             return False
@@ -433,35 +471,35 @@
         self.requests.free(request.handle)
         if self.by_session_id.get(request.set_up.session_id) is request:
             del self.by_session_id[request.set_up.session_id]
-        of_title = self.by_title[request.set_up.title]
-        of_title.remove(request)
-        if not of_title:
+        same_title = self.by_title[request.set_up.title]
+        same_title.remove(request)
+        if not same_title:
             del self.by_title[request.set_up.title]
         if self.admission is not None:
             self.admission.ended(request)
         if self.ownership is not None:
             self.ownership.ended(request)
 
-    def _refuse(self, session: int, hold_off_ms: float) -> None:
+    def _refuse(self, session: int, retry_after_ms: float) -> None:
         request = self.requests.get(session)
         if request is None or request.state is not State.OPEN:
             return
-        harmless = request.service_class.effect is Effect.REPEATABLE or not request.may_have_run
+        may_refuse = request.service_class.effect is Effect.REPEATABLE or not request.may_have_run
         if (
             not check_invariant(request.attempt is None, "nothing out at the final answer")
             and request.attempt
         ):
             self._give_up(request.attempt)
-            harmless = harmless and request.service_class.effect is Effect.REPEATABLE
-        if not check_invariant(harmless, "paid set-up refused only if it never ran"):
+            may_refuse = may_refuse and request.service_class.effect is Effect.REPEATABLE
+        if not check_invariant(may_refuse, "paid set-up refused only if it never ran"):
             return self._fail(session)
         request.tally.shed += 1
-        ticket = ""
+        reservation_token = ""
         if self.admission is not None:
-            quote_ms, ticket = self.admission.refused(request, hold_off_ms)
-            hold_off_ms = quote_ms if self.settings.retry_after else 0.0
+            estimate_ms, reservation_token = self.admission.refused(request, retry_after_ms)
+            retry_after_ms = estimate_ms if self.settings.retry_after else 0.0
         self._conclude(request)
-        request.client.refused(hold_off_ms, ticket)
+        request.client.refused(retry_after_ms, reservation_token)
 
     def _fail(self, session: int) -> None:
         request = self.requests.get(session)
@@ -477,14 +515,14 @@
         request.client.failed(request.last_outcome)
 
     def _overdue(self, request: Request) -> None:
-        """Guards against a request held past its time, whatever the reason."""
+        """Fail a request that is still open shortly before its client stops waiting, whatever the reason."""
         request.deadline = None
         if request.state is State.OPEN:
             check_invariant(False, "answered before its time is up")
             self._fail(request.handle)
             self.dispatch(api.ViewerLeft(request.handle))
 
-    # Sessions that stand
+    # Established sessions
 
     def _establish(self, request: Request, server: int) -> None:
         request.state, request.server = State.ESTABLISHED, server
@@ -493,17 +531,20 @@
             self.admission.established(request)
 
     def session_ended(self, request: Request, outcome: Outcome, report: api.LoadReport | None = None) -> None:
-        """The box has released it.  Repeated releases find nothing that stands."""
+        """The media server has released the session.  Repeated releases have no effect."""
         if request.state is State.ESTABLISHED:
-            self._end(request, outcome, report, tell_box=False, tell_viewer=outcome is not Outcome.CANCELLED)
+            self._end(
+                request, outcome, report, tell_server=False, tell_client=outcome is not Outcome.CANCELLED
+            )
 
     def cut(self, request: Request) -> None:
-        """The box that it plays at is lost; should it live, it is told."""
+        """End a session whose media server is lost.  A release is sent to it, in case it still runs."""
         if request.state is State.ESTABLISHED:
             self.counters.cut += 1
-            self._end(request, Outcome.RESET, None, tell_box=True, tell_viewer=True)
+            self._end(request, Outcome.RESET, None, tell_server=True, tell_client=True)
 
     def cut_all(self, server: int) -> None:
+        """End all sessions at a lost media server."""
         for request in list(self.established.get(server, {}).values()):
             self.cut(request)
 
@@ -511,7 +552,7 @@
         request = self.requests.get(session)
         if request is not None and request.state is State.ESTABLISHED:
             self.counters.moved += 1
-            self._end(request, Outcome.CANCELLED, None, tell_box=True, tell_viewer=False)
+            self._end(request, Outcome.CANCELLED, None, tell_server=True, tell_client=False)
             request.client.moved()
 
     def _end(
@@ -519,8 +560,8 @@
         request: Request,
         outcome: Outcome,
         report: api.LoadReport | None,
-        tell_box: bool,
-        tell_viewer: bool,
+        tell_server: bool,
+        tell_client: bool,
     ) -> None:
         server = request.server
         assert server is not None
@@ -531,11 +572,11 @@
         at_server.pop(request.handle, None)
         if not at_server:
             self.established.pop(server, None)
-        if tell_box and self.ownership is None:
+        if tell_server and self.ownership is None:
             request.servers.release(request, CAUSES[outcome])
-        elif tell_box and self.ownership is not None:
+        elif tell_server and self.ownership is not None:
             self.ownership.release(request, CAUSES[outcome])
-        if tell_viewer:
+        if tell_client:
             request.client.released(CAUSES.get(outcome, Cause.CUT))
         self.dispatch(
             api.AttemptEnded(
@@ -563,25 +604,29 @@
                 self.ownership.rung_changed(request)
 
     def session_event(self, request: Request, event: api.Event) -> None:
+        """Dispatch an event of a session, if it is established."""
         if request.state is State.ESTABLISHED:
             self.dispatch(event)
 
-    # Boxes
+    # Media servers
 
     def update_fleet(self, kind: api.ListKind, listings: Iterable[api.ServerListing]) -> None:
-        """A list of boxes, or a change of it; what is left out by hand drains, whatever the list says."""
-        told = tuple(self._apply_maintenance(kind, tuple(listings)))
+        """Apply a list of media servers, or a change of it, and cut the sessions at servers that are gone.
+
+        Servers in maintenance mode drain, whatever the list says.
+        """
+        effective = tuple(self._apply_maintenance(kind, tuple(listings)))
         lost: set[int] = set()
         if kind is not api.ListKind.DELTA:
-            lost = self.listings.keys() - {one.server for one in told}
-        for one in told:
-            if one.health is Health.GONE:
-                lost.add(one.server)
+            lost = self.listings.keys() - {listing.server for listing in effective}
+        for listing in effective:
+            if listing.health is Health.GONE:
+                lost.add(listing.server)
             else:
-                self.listings[one.server] = one
+                self.listings[listing.server] = listing
         for server in lost:
             self.listings.pop(server, None)
-        self.dispatch(api.FleetUpdate(kind, told))
+        self.dispatch(api.FleetUpdate(kind, effective))
         for server in lost:
             self.cut_all(server)
         if self.admission is not None:
@@ -591,18 +636,18 @@
         self, kind: api.ListKind, told: tuple[api.ServerListing, ...]
     ) -> Iterator[api.ServerListing]:
         if kind is not api.ListKind.DELTA:
-            for held in self.maintenance.values():
-                held.listing = None
-        for one in told:
-            if (kept := self.maintenance.get(one.server)) is not None:
-                kept.listing = None if one.health is Health.GONE else one
-                if one.health is Health.READY:
-                    one = replace(one, health=Health.DRAINING)
-            yield one
+            for entry in self.maintenance.values():
+                entry.listing = None
+        for listing in told:
+            if (current := self.maintenance.get(listing.server)) is not None:
+                current.listing = None if listing.health is Health.GONE else listing
+                if listing.health is Health.READY:
+                    listing = replace(listing, health=Health.DRAINING)
+            yield listing
 
     def start_maintenance(self, server: int, since_ms: float) -> None:
-        """By hand: nothing new goes there from now on, as at a drain, until it is put back.  `since_ms` is
-        the Unix time of the call, which another process may have heard."""
+        """Put a media server in maintenance mode: like a draining one, it gets no new sessions until the mode
+        ends.  `since_ms` is the Unix time of the operator's call, which another process may have received."""
         if server not in self.maintenance:
             listing = self.listings.get(server)
             self.maintenance[server] = MaintenanceEntry(to_us(since_ms), listing)
@@ -610,15 +655,19 @@
                 self.update_fleet(api.ListKind.DELTA, (listing,))
 
     def end_maintenance(self, server: int) -> None:
-        """By hand: as the list has it, with nothing known of it.  It has started since it was left out, when
-        the list says so, else now: who would be taken for warm while it is cold would fall."""
-        held = self.maintenance.pop(server, None)
-        if held is not None and held.listing is not None:
-            told_us = held.listing.started_us
-            started_us = told_us if told_us >= held.since_us else to_us(self.clock.now())
+        """End a media server's maintenance mode: it is as the list has it, and nothing learned of it remains.
+
+        Its start time is the listed one if that is later than the start of the maintenance, else now: a
+        server that is taken for warm while it is cold would be overloaded and fail.
+        """
+        entry = self.maintenance.pop(server, None)
+        if entry is not None and entry.listing is not None:
+            listed_us = entry.listing.started_us
+            started_us = listed_us if listed_us >= entry.since_us else to_us(self.clock.now())
             self.update_fleet(
-                api.ListKind.DELTA, (replace(held.listing, started_us=started_us, after_maintenance=True),)
+                api.ListKind.DELTA, (replace(entry.listing, started_us=started_us, after_maintenance=True),)
             )
 
     def probed(self, server: int, outcome: Outcome, took_ms: float, report: api.LoadReport | None) -> None:
+        """A probe has ended after `took_ms`; `report` is the load that the media server reported, if any."""
         self.dispatch(api.ProbeEnded(server, outcome, to_us(took_ms), report))
--- a/cloverhinge/core/slots.py
+++ b/cloverhinge/core/slots.py
@@ -1,4 +1,4 @@
-"""Tables of numbered slots: what lives in one is named by its number and the slot's generation."""
+"""Tables of numbered slots, whose items are referred to by slot number and generation."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class SlotTable(Generic[T]):
-    """A handle holds a slot's number and its generation, which grows each time the slot is freed.
+    """A table of items; the handle of one combines its slot's number and the slot's generation.
 
-    Guards against late messages: the handle of something gone never finds what took its slot since.
+    The generation grows each time the slot is freed, so the handle of a removed item, as in a late message,
+    never refers to the item that has taken its slot since.
     """
 
     def __init__(self, capacity: int = 1 << INDEX_BITS) -> None:
@@ -31,9 +32,11 @@
 
     @property
     def full(self) -> bool:
+        """Whether all slots are taken."""
         return len(self) >= self.capacity
 
     def put(self, item: T) -> int:
+        """Store an item and return its handle; raises OverflowError if the table is full."""
         if self.full:
             raise OverflowError(f"all {self.capacity} slots are taken")
         if self._free:
@@ -46,13 +49,14 @@
         return self._generations[index] << INDEX_BITS | index
 
     def get(self, handle: int) -> T | None:
+        """The item of a handle; None if it has been removed."""
         index = handle & INDEX_MASK
         if index >= len(self._items) or self._generations[index] != handle >> INDEX_BITS:
             return None
         return self._items[index]
 
     def free(self, handle: int) -> T | None:
-        """Empty the slot; None where the handle is out of date."""
+        """Free the slot and return its item; None if the item has been removed already."""
         item = self.get(handle)
         if item is not None:
             index = handle & INDEX_MASK
