--- a/cloverhinge/cli.py
+++ b/cloverhinge/cli.py
@@ -10,18 +10,18 @@
   cloverhinge (-h | --help)
 
 Commands:
-  serve    Run the router.  LB_CONFIG names its configuration, LB_LISTEN where it listens.
-  check    Read a configuration (that of LB_CONFIG, unless named) and say what is wrong with it.
-  console  Show a running router's sessions, boxes, counters and certificate, at the admin socket
-           that the site file names.
+  serve    Run the router.  LB_CONFIG names its configuration file, LB_LISTEN the address to listen on.
+  check    Read a configuration (that of LB_CONFIG, unless named) and report what is wrong with it.
+  console  Show a running router's sessions, media servers, counters and certificate, read from the
+           admin socket that the site file names.
   members  Show which routers are members, as a running router sees them.
-  custody  Tell where a play (or a session over RTSP) is, who owns it and who did before.
+  custody  Show where a play (or a session over RTSP) is, who owns it and who owned it before.
   version  Print the version.
 
 Options:
   --site FILE  The site's own file, which turns the HLS front on.  [default: deploy/site.toml]
-               The default may be missing: then the platform's front stands alone.
-  --once       Print one view and end.
+               The default may be missing: then only the platform's front runs.
+  --once       Print one view and exit.
   -h --help    Show this text.
 """
 
@@ -41,60 +41,65 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    chosen = docopt(__doc__ or "", argv=arguments)
-    if chosen["version"]:
+    """Run a command with these arguments, by default those of the process, and return the exit status.
+
+    It is 0 on success, 1 if the router could not start, and 2 for an invalid configuration.
+    """
+    options = docopt(__doc__ or "", argv=arguments)
+    if options["version"]:
         print(f"cloverhinge {__version__}")
         return 0
-    if chosen["serve"]:  # a SIGHUP that comes before the router stands waits until it does
+    if options["serve"]:  # a SIGHUP stays pending until the router has started
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
-        if chosen["console"] or chosen["members"] or chosen["custody"]:
-            admin = site.read(Path(chosen["--site"])).admin
+        if options["console"] or options["members"] or options["custody"]:
+            admin = site.read(Path(options["--site"])).admin
             if admin is None:
-                raise ConfigError(f"{chosen['--site']} names no admin socket")
-            if chosen["members"]:
+                raise ConfigError(f"{options['--site']} names no admin socket")
+            if options["members"]:
                 return console.show_members(admin)
-            if chosen["custody"]:
-                return console.show_custody(admin, chosen["PLAY"])
-            return console.show(admin, chosen["--once"])
-        told = config.read(chosen["CONFIG"]) if chosen["CONFIG"] else config.from_environment()
-        path = Path(chosen["--site"])
-        around = site.read(path) if path.exists() or chosen["--site"] != DEFAULT_SITE else site.Site()
+            if options["custody"]:
+                return console.show_custody(admin, options["PLAY"])
+            return console.show(admin, options["--once"])
+        node_config = config.read(options["CONFIG"]) if options["CONFIG"] else config.from_environment()
+        path = Path(options["--site"])
+        node_site = site.read(path) if path.exists() or options["--site"] != DEFAULT_SITE else site.Site()
     except (ConfigError, console.ConsoleError) as error:
         print(f"cloverhinge: {error}", file=sys.stderr)
         return 2
-    if chosen["check"]:
-        boxes = {box.name for change in told.initial_updates for box, _ in change.rows}
+    if options["check"]:
+        servers = {server.name for update in node_config.initial_updates for server, _ in update.rows}
         print(
-            f"{told.name or 'unnamed'}: {len(told.settings.classes)} classes, {len(boxes)} boxes named, "
-            f"listening on {told.listen[0]}:{told.listen[1]}"
+            f"{node_config.name or 'unnamed'}: {len(node_config.settings.classes)} classes, "
+            f"{len(servers)} boxes named, listening on {node_config.listen[0]}:{node_config.listen[1]}"
         )
         print(
             "HLS front: off"
-            if around.hls is None
-            else f"HLS front: on {around.hls.listen[0]}:{around.hls.listen[1]}, "
-            f"{len(around.hls.titles)} titles"
+            if node_site.hls is None
+            else f"HLS front: on {node_site.hls.listen[0]}:{node_site.hls.listen[1]}, "
+            f"{len(node_site.hls.titles)} titles"
         )
         print(
             "members: off"
-            if around.members is None
-            else f"members: site {around.members.site}, {len(around.members.join)} addresses to join"
+            if node_site.members is None
+            else f"members: site {node_site.members.site}, {len(node_site.members.join)} addresses to join"
         )
         print(
             "custody: off"
-            if around.custody is None
-            else f"custody: {around.custody.routers} routers, {around.custody.keepers} may be lost at once, "
-            f"without keepers it {'serves' if around.custody.serve else 'refuses'}"
+            if node_site.custody is None
+            else f"custody: {node_site.custody.routers} routers, "
+            f"{node_site.custody.keepers} may be lost at once, "
+            f"without keepers it {'serves' if node_site.custody.serve else 'refuses'}"
         )
         print(
             "door: off"
-            if around.door is None
-            else f"door: {len(around.door.clients) - 1} clients named, {around.door.waiting} may wait"
+            if node_site.door is None
+            else f"door: {len(node_site.door.clients) - 1} clients named, {node_site.door.waiting} may wait"
         )
         return 0
-    if around.members is not None and not told.name:
+    if node_site.members is not None and not node_config.name:
         print("cloverhinge: members: the configuration gives this router no name", file=sys.stderr)
         return 2
-    from cloverhinge.node import serve  # starts Twisted's reactor, which the other commands don't need
+    from cloverhinge.node import serve  # imports Twisted's reactor, which the other commands don't need
 
-    return serve(told, around)
+    return serve(node_config, node_site)
--- a/cloverhinge/config.py
+++ b/cloverhinge/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a stream router at its start."""
+"""The configuration that the platform gives a stream router at its start."""
 
 from __future__ import annotations
 
@@ -16,63 +16,75 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """A router's configuration.  Addresses are host and port; times are in milliseconds."""
+
     name: str
-    listen: tuple[str, int]
+    listen: tuple[str, int]  # for RTSP clients
     seed: int
     memory_mb: int
-    sockets: int
-    changelog: tuple[str, int]
-    seq: int
+    sockets: int  # how many the process may open
+    changelog: tuple[str, int]  # address of the media servers' change log
+    seq: int  # number of the last update in `initial_updates`
     initial_updates: tuple[ListUpdate, ...]
     settings: api.Settings
-    connect_ms: float
-    idle_ms: float
-    operator_address: tuple[str, int] | None = None  # where the staff call
-    listener_fd: int | None = None  # descriptor of the clients' listening socket, where it is inherited
+    connect_ms: float  # time-out for opening a connection to a media server
+    idle_ms: float  # after which an idle connection to a media server is closed
+    operator_address: tuple[str, int] | None = None  # listens for operator commands
+    listener_fd: int | None = None  # file descriptor of an inherited listening socket for clients
 
 
 def read(path: str, environment: Mapping[str, str] | None = None) -> Config:
+    """Read a JSON configuration file; variables of the environment override it.
+
+    Raises ConfigError if the file can't be read or is invalid.
+    """
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+            document = json.load(file)
     except OSError as error:
         raise ConfigError(f"{path} can't be read: {error.strerror}") from None
     except ValueError as error:
         raise ConfigError(f"{path} is not JSON: {error}") from None
     try:
-        return parse(told, environment or {})
+        return parse(document, environment or {})
     except KeyError as error:
         raise ConfigError(f"{path}: {error} is missing") from None
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def parse(told: dict[str, Any], environment: Mapping[str, str]) -> Config:
-    limits, settings, known = told.get("limits") or {}, told["settings"], told.get("known") or {}
-    changes = [parse_update(event) for event in known.get("results") or []]
-    rules = settings.get("limits") or {}
-    listen = environment.get("LB_LISTEN") or told["listen"]
-    mgmt, inherited = environment.get("LB_MGMT") or told.get("mgmt"), environment.get("LB_LISTEN_FD")
-    if inherited and not inherited.isdecimal():
-        raise ValueError(f"LB_LISTEN_FD: {inherited!r} is no descriptor")
+def parse(document: dict[str, Any], environment: Mapping[str, str]) -> Config:
+    """Build the configuration from its decoded JSON and the environment.
+
+    Raises KeyError for a missing key, and ValueError, TypeError, AttributeError or OverflowError for an
+    invalid value.
+    """
+    limits, settings, known = document.get("limits") or {}, document["settings"], document.get("known") or {}
+    updates = [parse_update(event) for event in known.get("results") or []]
+    setting_limits = settings.get("limits") or {}
+    listen = environment.get("LB_LISTEN") or document["listen"]
+    operators, fd = environment.get("LB_MGMT") or document.get("mgmt"), environment.get("LB_LISTEN_FD")
+    if fd and not fd.isdecimal():
+        raise ValueError(f"LB_LISTEN_FD: {fd!r} is no descriptor")
     return Config(
-        name=str(told.get("name") or ""),
+        name=str(document.get("name") or ""),
         listen=parse_address(listen, min_port=0),
-        seed=int(str(told.get("seed") or "0"), 16),
+        seed=int(str(document.get("seed") or "0"), 16),
         memory_mb=int(limits.get("memory_mb", 192)),
         sockets=int(limits.get("sockets", 1024)),
-        changelog=parse_address(told["changelog"]),
+        changelog=parse_address(document["changelog"]),
         seq=int(known.get("seq", 0)),
-        initial_updates=tuple(change for change in changes if change is not None),
+        initial_updates=tuple(update for update in updates if update is not None),
         settings=parse_settings(settings),
-        connect_ms=float(rules.get("connectTimeoutUs") or 250_000) / 1000,
-        idle_ms=float(rules.get("connIdleUs") or 30_000_000) / 1000,
-        operator_address=parse_address(str(mgmt), min_port=0) if mgmt else None,
-        listener_fd=int(inherited) if inherited else None,
+        connect_ms=float(setting_limits.get("connectTimeoutUs") or 250_000) / 1000,
+        idle_ms=float(setting_limits.get("connIdleUs") or 30_000_000) / 1000,
+        operator_address=parse_address(str(operators), min_port=0) if operators else None,
+        listener_fd=int(fd) if fd else None,
     )
 
 
 def from_environment(environment: Mapping[str, str] = os.environ) -> Config:
+    """Read the configuration file that LB_CONFIG names; raises ConfigError like `read`, or if it is unset."""
     path = environment.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG names no configuration")
--- a/cloverhinge/node.py
+++ b/cloverhinge/node.py
@@ -1,4 +1,4 @@
-"""One stream router: builds the parts from the configuration, starts them, and ends them in order."""
+"""One stream router: builds its components from the configuration, starts them and shuts them down."""
 
 from __future__ import annotations
 
@@ -32,30 +32,40 @@
 from cloverhinge.shutdown import Hooks, Phase, Shutdown
 from cloverhinge.site import AcmeSite, HlsSite, Site
 
-CATCH_UP_TIMEOUT_MS = 3000.0  # a change log that tells nothing for so long is not waited for; 6 s are given
+CATCH_UP_TIMEOUT_MS = (
+    3000.0  # a change log that sends nothing for this long is not waited for; 6 s are allowed
+)
 BACKLOG = 256
-PUBLISH_PERIOD_MS = 1000.0  # pace at which the facts for other routers are looked at
+PUBLISH_PERIOD_MS = 1000.0  # interval at which the facts for other routers are updated
 
 reactor: Any = _reactor
 
 
 class Component(Protocol):
-    """A part that the site file turns on; later ones build on earlier ones."""
+    """A component that the site file turns on; later ones build on earlier ones."""
 
-    key: str  # under which the admin's answer shows its status
+    key: str  # of its status in the answer of the admin socket
 
-    def start(self) -> None: ...
+    def start(self) -> None:
+        """Start once the router serves clients."""
+        ...
 
     def begin_shutdown(self) -> None:
-        """SIGTERM has come; the listener is still open."""
+        """SIGTERM has been received; the listeners are still open."""
 
-    def status(self) -> dict[str, Any]: ...
+    def status(self) -> dict[str, Any]:
+        """Its part of the status, as values of JSON."""
+        ...
 
 
 class Node:
+    """A router process with all its components."""
+
     log = Logger()
 
     def __init__(self, config: Config, site: Site) -> None:
+        """Optional components are imported and built only where the configuration or the site file asks for
+        them."""
         self.config, self.site = config, site
         self.clock = Clock()
         self.deadlines = Deadlines(self.clock, reactor.callLater)
@@ -97,18 +107,20 @@
         )
         self.rtsp_listener: Any = None
         self.hls_listeners: list[Any] = []
-        self.plays: Any = None  # of the HLS front, where there is one
-        self.certificate_renewal: Any = None  # of certificates
-        self.admission: Any = None  # the door, where there is one
+        self.plays: Any = None  # of the HLS front, if it is on
+        self.certificate_renewal: Any = None  # if certificates are obtained by ACME
+        self.admission: Any = None  # if admission control is on
         if site.door is not None:
-            from cloverhinge.admission.gateway import AdmissionGateway  # loaded only where the door is wanted
+            from cloverhinge.admission.gateway import (
+                AdmissionGateway,
+            )  # loaded only if admission control is on
 
             self.admission = AdmissionGateway(site.door, self.router, self.deadlines, config.seed)
             self.front.identify = self.admission.clients.identify
         self.components: list[Component] = []
-        self.operations: Any = None  # of the staff, where the platform tells of them
+        self.operations: Any = None  # if operator commands are on, or another process may share the listener
         if config.operator_address is not None or config.listener_fd is not None:
-            from cloverhinge.operations.component import Operation  # loaded only where the staff call
+            from cloverhinge.operations.component import Operation  # loaded only if it is needed
 
             folder = os.environ.get("TMPDIR")
             self.operations = Operation(
@@ -122,20 +134,19 @@
             )
             self.operations.shared = self.media_servers.share
         if site.members is not None:
-            from cloverhinge.members.transport import (
-                MembershipTransport,  # loaded only where there are other routers
-            )
+            # Loaded only if there are other routers.
+            from cloverhinge.members.transport import MembershipTransport
 
             self.members = MembershipTransport(
                 reactor, site.members, config.name, self.clock, self.deadlines, config.seed
             )
             self.components.append(self.members)
-        self.ownership: Any = None  # of work in hand, where it is wanted
+        self.ownership: Any = None  # if sessions are replicated to other routers
         if site.custody is not None:
-            from cloverhinge.ownership.component import Part as Custody  # loaded only where routers keep work
+            from cloverhinge.ownership.component import Part as Ownership  # loaded only if it is on
             from cloverhinge.rtsp.replicated_sessions import KeptSessions
 
-            self.ownership = Custody(
+            self.ownership = Ownership(
                 site.custody,
                 self.members,
                 self.router,
@@ -153,8 +164,12 @@
         self.started_ms = self.clock.now()
 
     def start(self) -> None:
-        for at, change in enumerate(self.config.initial_updates):
-            self.apply_update(change, api.ListKind.CACHED if at == 0 else None)
+        """Apply the cached list of media servers, start the components and begin to listen.
+
+        On an inherited listener, begin to accept once the list is current, or the change log's time is up.
+        """
+        for index, update in enumerate(self.config.initial_updates):
+            self.apply_update(update, api.ListKind.CACHED if index == 0 else None)
         self.discovery.start()
         self.media_servers.start()
         self.front.start()
@@ -165,10 +180,10 @@
             self.rtsp_listener = reactor.listenTCP(port, self.front, backlog=BACKLOG, interface=host)
             self._serve()
         else:
-            # Guards against standing still in `accept` where the other process took what was there.
+            # A blocking `accept` would stop this process where the other one has accepted the connection.
             os.set_blocking(self.config.listener_fd, False)
             self.rtsp_listener = reactor.adoptStreamPort(self.config.listener_fd, socket.AF_INET, self.front)
-            self.rtsp_listener.stopReading()  # until the list is known: another process may serve meanwhile
+            self.rtsp_listener.stopReading()  # until the list is current; another process may serve meanwhile
             self.discovery.when_caught_up(self._serve, CATCH_UP_TIMEOUT_MS)
 
     def _serve(self) -> None:
@@ -176,11 +191,11 @@
             return
         self.rtsp_listener.startReading()
         self.log.info(
-            "{name}: listening on {host}:{port}, {boxes} boxes known",
+            "{name}: listening on {host}:{port}, {servers} media servers known",
             name=self.config.name,
             host=self.config.listen[0],
             port=self.rtsp_listener.getHost().port,
-            boxes=len(self.servers),
+            servers=len(self.servers),
         )
         if self.site.admin is not None:
             commands: dict[str, Callable[[str], dict[str, Any]]] = (
@@ -196,37 +211,40 @@
             )
         if self.site.hls is not None:
             self._start_hls(self.site.hls, self.site.acme)
-        for part in self.components:
-            part.start()
+        for component in self.components:
+            component.start()
         if self.operations is not None:
             self.operations.serving()
         if self.site.members is not None:
             self._publish()
 
     def _publish(self) -> None:
-        """What the other routers are told of this one; the members set the pace at which it leaves."""
+        """Update the facts that other routers know of this one; the members component decides when to send
+        them."""
         if self.stopping:
             return
         router, host = self.router, self.config.listen[0]
-        places = sum(router.settings.places_by_kind.get(x.kind, 0) for x in router.listings.values())
-        web = [x.getHost() for x in self.hls_listeners]
+        capacity = sum(
+            router.settings.places_by_kind.get(listing.kind, 0) for listing in router.listings.values()
+        )
+        hls_hosts = [listener.getHost() for listener in self.hls_listeners]
         self.members.publish(
             {
                 "version": __version__,
                 "rtsp": f"{host}:{self.rtsp_listener.getHost().port}",
-                "hls": [f"{x.host}:{x.port}" for x in web],
-                "capacity": places,
+                "hls": [f"{address.host}:{address.port}" for address in hls_hosts],
+                "capacity": capacity,
                 "open": router.open_requests,
-                "load": sum(len(x) for x in router.established.values()),
+                "load": sum(len(sessions) for sessions in router.established.values()),
             }
         )
         self.deadlines.after(PUBLISH_PERIOD_MS, self._publish)
 
     def _start_hls(self, site: HlsSite, acme: AcmeSite | None) -> None:
-        from cloverhinge.hls import front, plays  # loaded only where the front is wanted
+        from cloverhinge.hls import front, plays  # loaded only if the HLS front is on
         from cloverhinge.hls.media_servers import HlsBoxes
 
-        boxes = HlsBoxes(
+        hls_servers = HlsBoxes(
             reactor,
             self.router,
             self.deadlines,
@@ -236,52 +254,52 @@
             site.boxes,
             site.manifest_bytes,
         )
-        held = self.plays = plays.Plays(self.router, boxes, self.deadlines, site.idle_ms)
+        table = self.plays = plays.Plays(self.router, hls_servers, self.deadlines, site.idle_ms)
         root = front.Front(
             site,
             self.router,
-            boxes,
-            held,
+            hls_servers,
+            table,
             self._proof,
             None if self.admission is None else self.admission.clients.identify,
         )
         if self.ownership is not None:
             from cloverhinge.hls.replicated_plays import KeptPlays
 
-            KeptPlays(self.ownership, held, boxes, site)
+            KeptPlays(self.ownership, table, hls_servers, site)
         host, port = site.listen
-        wired = front.factory(root, self.config.sockets // 4, self.deadlines)
-        web = reactor.listenTCP(port, wired, backlog=BACKLOG, interface=host)
-        self.hls_listeners.append(web)
+        http_factory = front.factory(root, self.config.sockets // 4, self.deadlines)
+        listener = reactor.listenTCP(port, http_factory, backlog=BACKLOG, interface=host)
+        self.hls_listeners.append(listener)
         self.log.info(
             "{name}: HLS on {host}:{port}, {titles} titles",
             name=self.config.name,
             host=host,
-            port=web.getHost().port,
+            port=listener.getHost().port,
             titles=len(site.titles),
         )
         if acme is not None:
-            self._start_acme(acme, wired)
+            self._start_acme(acme, http_factory)
 
-    def _start_acme(self, site: AcmeSite, wired: Any) -> None:
+    def _start_acme(self, site: AcmeSite, http_factory: Any) -> None:
         from cloverhinge.acme.renewal import Keeper
 
         def ready() -> None:
             if self.stopping:
                 return
-            tls = reactor.listenSSL(
+            listener = reactor.listenSSL(
                 site.listen[1],
-                wired,
+                http_factory,
                 self.certificate_renewal.live,
                 backlog=BACKLOG,
                 interface=site.listen[0],
             )
-            self.hls_listeners.append(tls)
+            self.hls_listeners.append(listener)
             self.log.info(
                 "{name}: HLS over TLS on {host}:{port}",
                 name=self.config.name,
                 host=site.listen[0],
-                port=tls.getHost().port,
+                port=listener.getHost().port,
             )
 
         self.certificate_renewal = Keeper(
@@ -290,9 +308,11 @@
         self.certificate_renewal.start()
 
     def _proof(self, token: str) -> str | None:
+        """The answer to an ACME challenge, if one with this token is pending."""
         return None if self.certificate_renewal is None else self.certificate_renewal.proofs.get(token)
 
     def status(self) -> dict[str, Any]:
+        """The router's status, as values of JSON."""
         certificate = None
         if self.certificate_renewal is not None:
             certificate = {
@@ -311,91 +331,97 @@
                 len(self.plays.table) if self.plays is not None else 0,
                 self.admission.status() if self.admission is not None else [],
             )
-            | {part.key: part.status() for part in self.components}
+            | {component.key: component.status() for component in self.components}
             | ({} if self.operations is None else {"operation": self.operations.status()})
         )
 
     def apply_update(self, update: ListUpdate, kind: api.ListKind | None = None) -> None:
-        """A list, or a change of one: the router first, as it says what may still be written to."""
+        """Apply a list of media servers, or a change of one: to the router before the connections, as the
+        router decides which servers may still be written to.
+
+        `kind` is given for a cached list only.
+        """
         if update.full and not update.rows and self.servers:
             update, kind = self._all_draining(update), api.ListKind.DELTA
         if self.operations is not None:
-            self.operations.listed(box.name for box, _ in update.rows)
+            self.operations.listed(server.name for server, _ in update.rows)
         kind = kind or (api.ListKind.FULL if update.full else api.ListKind.DELTA)
         if kind is not api.ListKind.DELTA:
-            self.servers.clear()  # in place: both sides look boxes up in it
-        for box, listing in update.rows:
-            self.servers.pop(box.number, None)
+            self.servers.clear()  # in place, as the RTSP and HLS sides use the same dictionary
+        for server, listing in update.rows:
+            self.servers.pop(server.number, None)
             if listing.health is not api.Health.GONE:
-                self.servers[box.number] = box
+                self.servers[server.number] = server
         self.router.update_fleet(kind, (listing for _, listing in update.rows))
         self.media_servers.follow(self.servers)
         self.log.info(
-            "list {seq}: {rows} boxes changed, {boxes} listed",
+            "list {seq}: {rows} media servers changed, {servers} listed",
             seq=update.seq,
             rows=len(update.rows),
-            boxes=len(self.servers),
+            servers=len(self.servers),
         )
 
-    def _all_draining(self, change: ListUpdate) -> ListUpdate:
-        """Guards what plays against a whole list that is empty, which may be a fault of the log: nothing new
-        is sent to any server until it is told again, and no session is ended."""
+    def _all_draining(self, update: ListUpdate) -> ListUpdate:
+        """Replace a full but empty list, which may be a fault of the change log, by one on which all servers
+        drain: none gets new sessions until it is listed again, and no session is ended."""
         self.log.warn(
-            "list {seq} is empty: nothing new is sent to the {boxes} servers known",
-            seq=change.seq,
-            boxes=len(self.servers),
+            "list {seq} is empty: no new sessions are sent to the {servers} media servers known",
+            seq=update.seq,
+            servers=len(self.servers),
         )
         listings = self.router.listings
         return replace(
-            change,
+            update,
             full=False,
             rows=tuple(
-                (box, replace(listings[number], health=api.Health.DRAINING))
-                for number, box in self.servers.items()
+                (server, replace(listings[number], health=api.Health.DRAINING))
+                for number, server in self.servers.items()
                 if number in listings
             ),
         )
 
     def reload(self) -> None:
-        """SIGHUP: read the configuration anew.  One that is bad or half written leaves the old one in force.
+        """Read the configuration again, on SIGHUP.  If it is invalid or incomplete, the old one remains.
 
-        The change log's address and the times of connections change at once; sessions go on.  The rest is
-        what the module and the tables were built with, and changes at the next start.
+        The change log's address and the time-outs of connections change at once, and sessions continue.  The
+        decision module and the tables were built with the other values, which change at the next start.
         """
         try:
-            told = from_environment()
+            config = from_environment()
         except ConfigError as error:
             self.log.error(
                 "{name}: keeps its configuration: {error}", name=self.config.name, error=str(error)[:500]
             )
             return
-        self.media_servers.connect_ms, self.media_servers.idle_ms = told.connect_ms, told.idle_ms
-        self.discovery.follow(told.changelog)
+        self.media_servers.connect_ms, self.media_servers.idle_ms = config.connect_ms, config.idle_ms
+        self.discovery.follow(config.changelog)
         self.log.info(
             "{name}: configuration read anew, change log at {host}:{port}",
             name=self.config.name,
-            host=told.changelog[0],
-            port=told.changelog[1],
+            host=config.changelog[0],
+            port=config.changelog[1],
         )
 
     def terminate(self) -> None:
-        """SIGTERM: go on taking what still comes, answer all of it, then end."""
+        """Shut down, on SIGTERM: requests that still arrive are accepted and answered before the exit."""
         if self.shutdown.phase is not Phase.SERVING:
             return
-        for part in self.components:
-            part.begin_shutdown()
+        for component in self.components:
+            component.begin_shutdown()
         if self.operations is not None:
             self.operations.begin_shutdown()
         self.shutdown.begin(shared_listener=self.config.listener_fd is not None)
 
     @property
     def stopping(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether the shutdown has begun."""
         return self.shutdown.phase is not Phase.SERVING
 
     def _max_wait_ms(self) -> float:
-        """The longest that a client waits for an answer."""
-        return max((to_ms(x.deadline_us) for x in self.config.settings.classes), default=0.0)
+        """The longest time for which a client waits for an answer."""
+        return max(
+            (to_ms(service_class.deadline_us) for service_class in self.config.settings.classes), default=0.0
+        )
 
     def _listeners(self) -> list[Any]:
         return [port for port in (self.rtsp_listener, *self.hls_listeners) if port is not None]
@@ -410,6 +436,7 @@
 
 
 def serve(config: Config, site: Site) -> int:
+    """Run a router until SIGTERM or SIGINT; returns the exit status, 1 if it could not start."""
     observer: Any = textFileLogObserver(sys.stderr)
     globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False, discardBuffer=True)
     node = Node(config, site)
@@ -429,12 +456,14 @@
 
     def begin() -> None:
         signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(node.reload))
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came before is heard now
+        signal.pthread_sigmask(
+            signal.SIG_UNBLOCK, {signal.SIGHUP}
+        )  # one that arrived earlier is delivered now
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(node.terminate))
         signal.signal(signal.SIGINT, lambda *_: reactor.callFromThread(node.terminate))
         guarded(node.start)
         gc.collect()
-        gc.freeze()  # what was built for good need not be walked again
+        gc.freeze()  # objects built at the start live as long as the process: exclude them from collections
 
     reactor.callWhenRunning(begin)
     reactor.run()
--- a/cloverhinge/settings.py
+++ b/cloverhinge/settings.py
@@ -1,4 +1,4 @@
-"""The start-up settings as both programs are told them, translated for the decision module."""
+"""Parses the start-up settings, which both programs receive, into the settings of the decision module."""
 
 from __future__ import annotations
 
@@ -7,63 +7,66 @@
 from cloverhinge.decision import interface as api
 
 
-def parse_settings(told: dict[str, Any]) -> api.Settings:
-    """Translate the start-up settings; unknown keys are passed over, missing ones take the defaults."""
-    own = told.get("specifics") or {}
-    limits, rules, prices = (told.get(key) or {} for key in ("limits", "rules", "prices"))
+def parse_settings(document: dict[str, Any]) -> api.Settings:
+    """Parse the start-up settings; unknown keys are ignored, missing ones take the defaults.
 
-    def nth(key: str, at: int, default: Any) -> Any:
-        values = own.get(key) or []
-        return values[at] if at < len(values) and values[at] is not None else default
+    Raises KeyError for a class or account without a name, and ValueError or TypeError for an invalid value.
+    """
+    specifics = document.get("specifics") or {}
+    limits, rules, prices = (document.get(key) or {} for key in ("limits", "rules", "prices"))
+
+    def nth(key: str, index: int, default: Any) -> Any:
+        values = specifics.get(key) or []
+        return values[index] if index < len(values) and values[index] is not None else default
 
     classes = tuple(
         api.ServiceClass(
-            name=str(one["name"]),
-            effect=api.Effect(one.get("effect", "repeatable")),
-            aim_us=int(one.get("aimUs") or 0),
-            deadline_us=int(one.get("hardLimitUs") or 0),
-            worth=float(one.get("worth", 1.0)),
-            floor=int(nth("classFloor", at, 0)),
-            top=int(nth("highestRung", at, 255)),
-            rate_scale=float(nth("scaleByClass", at, 1.0)),
-            seats=int(nth("seats", at, 0)),
-            live=bool(nth("classLive", at, False)),
-            group=api.Group(one.get("group", "all")),
-            key_ttl_us=int(one.get("keyTtlUs") or 0),
+            name=str(row["name"]),
+            effect=api.Effect(row.get("effect", "repeatable")),
+            aim_us=int(row.get("aimUs") or 0),
+            deadline_us=int(row.get("hardLimitUs") or 0),
+            worth=float(row.get("worth", 1.0)),
+            floor=int(nth("classFloor", index, 0)),
+            top=int(nth("highestRung", index, 255)),
+            rate_scale=float(nth("scaleByClass", index, 1.0)),
+            seats=int(nth("seats", index, 0)),
+            live=bool(nth("classLive", index, False)),
+            group=api.Group(row.get("group", "all")),
+            key_ttl_us=int(row.get("keyTtlUs") or 0),
         )
-        for at, one in enumerate(told.get("classes") or [])
+        for index, row in enumerate(document.get("classes") or [])
     )
-    kinds = told.get("machineTypes") or []
-    places = own.get("placesByKind") or []
+    kinds = document.get("machineTypes") or []
+    places = specifics.get("placesByKind") or []
     tenants = tuple(
-        api.Tenant(str(one["name"]), float(one.get("quotaPerS") or 0.0), float(one.get("fraction") or 0.0))
-        for one in told.get("accounts") or []
+        api.Tenant(str(row["name"]), float(row.get("quotaPerS") or 0.0), float(row.get("fraction") or 0.0))
+        for row in document.get("accounts") or []
     )
     return api.Settings(
         classes=classes,
-        ladder_kb=tuple(own.get("ratesKb") or ()),
-        rung_worth=tuple(own.get("rungWorth") or ()),
-        places_by_kind={str(kind): int(n) for kind, n in zip(kinds, places, strict=False)},
-        weight_kb=float(own.get("weightKb") or 0.0),
-        uplink_kb=float(own.get("rackLinkKb") or 0.0),
-        cells=int(own.get("cells", 1)),
-        racks=int(own.get("cabinets", 1)),
-        fleet_size=int(told.get("fleetSize", 1)),
-        self_index=int(told.get("selfIndex", 0)),
-        zone=str(told.get("zone") or ""),
+        ladder_kb=tuple(specifics.get("ratesKb") or ()),
+        rung_worth=tuple(specifics.get("rungWorth") or ()),
+        places_by_kind={str(kind): int(count) for kind, count in zip(kinds, places, strict=False)},
+        weight_kb=float(specifics.get("weightKb") or 0.0),
+        uplink_kb=float(specifics.get("rackLinkKb") or 0.0),
+        cells=int(specifics.get("cells", 1)),
+        racks=int(specifics.get("cabinets", 1)),
+        fleet_size=int(document.get("fleetSize", 1)),
+        self_index=int(document.get("selfIndex", 0)),
+        zone=str(document.get("zone") or ""),
         tenants=tenants,
-        over_share_worth=float(told.get("overShareWorth", 1.0)),
-        join=float(own.get("join", 1.0)),
-        full_from=float(own.get("refusesFrom") or 0.0),
-        notes_late_us=int(own.get("seeUs") or 0),
-        told_every_us=int(own.get("toldEveryUs") or 0),
-        stall_cost=float(own.get("stallCost") or 0.0),
-        switch_s=float(own.get("switchS") or 0.0),
+        over_share_worth=float(document.get("overShareWorth", 1.0)),
+        join=float(specifics.get("join", 1.0)),
+        full_from=float(specifics.get("refusesFrom") or 0.0),
+        notes_late_us=int(specifics.get("seeUs") or 0),
+        told_every_us=int(specifics.get("toldEveryUs") or 0),
+        stall_cost=float(specifics.get("stallCost") or 0.0),
+        switch_s=float(specifics.get("switchS") or 0.0),
         max_attempts=int(limits.get("maxAttempts", 1)),
         max_retry_after_us=int(limits.get("maxRetryAfterUs") or 0),
         retry_after=bool(limits.get("retryAfter", True)),
         may_probe=bool(limits.get("mayProbe", False)),
-        must_subscribe=told.get("registryMode") == "subscribe",
+        must_subscribe=document.get("registryMode") == "subscribe",
         probe_price=float(prices.get("probe") or 0.0),
         handshake_price=float(prices.get("handshake") or 0.0),
         move_price=float(prices.get("moves") or 0.0),
--- a/cloverhinge/shutdown.py
+++ b/cloverhinge/shutdown.py
@@ -1,13 +1,13 @@
-"""The end of a router after SIGTERM, as a sequence of explicit phases.
+"""The shutdown of a router after SIGTERM, as a sequence of explicit phases.
 
     SERVING -> ACCEPTING -> CLOSING -> LEAVING -> STOPPED
 
-While ACCEPTING, new connections and requests are still taken, as clients have not heard of the end yet.
-While CLOSING, nothing listens any more and each connection is ended at a moment at which nothing is owed on
-it and nothing unread lies in it.  While LEAVING, other routers take over what this one owns.
+While ACCEPTING, new connections and requests are still accepted, as clients do not know of the shutdown yet.
+While CLOSING, nothing listens any more, and each connection is closed at a moment at which it has no pending
+answer and no unread input.  While LEAVING, other routers take over the sessions that this one owns.
 
-Guards against requests that come between the last look at what is open and the exit: the process ends only
-when a look finds no connection and no open request, so what was taken in the meantime is answered first.
+A request could arrive between the last check for open requests and the exit.  The process therefore ends only
+when a check finds no connection and no open request, so that every accepted request is answered first.
 """
 
 from __future__ import annotations
@@ -23,17 +23,19 @@
 from cloverhinge.core.router import Router
 from cloverhinge.rtsp.front import Front
 
-MAX_ACCEPT_MS = 700.0  # requests keep coming for so long after SIGTERM at the most
-IDLE_POLL_MS = 10.0  # pace at which connections are looked at for a moment of rest
-KILL_MARGIN_MS = 650.0  # beyond the longest wait; the platform ends the process 700 ms after that
-MAX_TAKE_OVER_MS = 3000.0  # for other routers to take what this one owned: two leases
-TAKE_OVER_POLL_MS = 150.0  # pace at which that is looked at
-FLUSH_MS = 50.0  # for what has been written at the end to leave
-MAX_ACCEPTED = 256  # connections taken from a listener's queue before it is closed: as many as it holds
+MAX_ACCEPT_MS = 700.0  # new requests arrive for this long after SIGTERM at most
+IDLE_POLL_MS = 10.0  # interval at which connections are checked for being idle
+KILL_MARGIN_MS = (
+    650.0  # beyond a client's longest wait; the platform kills the process 700 ms after that wait
+)
+MAX_TAKE_OVER_MS = 3000.0  # for other routers to take over what this one owns: two leases
+TAKE_OVER_POLL_MS = 150.0  # interval at which it is checked whether they have done so
+FLUSH_MS = 50.0  # for the last writes to be sent
+MAX_ACCEPTED = 256  # connections accepted from a listener's backlog before it is closed: all that it holds
 
 
 class Phase(Enum):
-    """Where a router stands between SIGTERM and its exit."""
+    """The phase of a router's shutdown."""
 
     SERVING = "serving"
     ACCEPTING = "accepting"
@@ -46,38 +48,40 @@
     """A listening port of the reactor."""
 
     def doRead(self) -> Any:
-        """Accept what waits in its queue."""
+        """Accept connections from its backlog."""
 
-    def stopListening(self) -> Any: ...
+    def stopListening(self) -> Any:
+        """Close the port."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
 class Hooks:
-    """What others do at the phases of the end."""
+    """What other components contribute to the phases of the shutdown."""
 
-    listeners: Callable[[], Iterable[Listener]]  # asked when they are closed, as some come late
-    closed: Callable[[], None]  # nothing listens any more
-    owns: Callable[[], bool]  # something that another router should take over
-    ended: Callable[[], None]  # no request is open
+    listeners: Callable[[], Iterable[Listener]]  # called when they are to be closed, as some are opened late
+    closed: Callable[[], None]  # called once nothing listens any more
+    owns: Callable[[], bool]  # whether this router owns something that another one should take over
+    ended: Callable[[], None]  # called once no request is open, or the time for that is up
     stop: Callable[[], None]  # ends the process
 
 
 class Shutdown:
-    """Ends a router without leaving a request unanswered.  Times are in milliseconds."""
+    """Shuts a router down without leaving a request unanswered.  Times are in milliseconds."""
 
     log = Logger()
 
     def __init__(
         self, name: str, front: Front, router: Router, deadlines: Deadlines, max_wait_ms: float, hooks: Hooks
     ) -> None:
-        """`longest_ms`: the longest that any client waits for an answer."""
+        """`max_wait_ms`: the longest time for which any client waits for an answer."""
         self.name, self.front, self.router, self.deadlines = name, front, router, deadlines
         self.max_wait_ms, self.hooks = max_wait_ms, hooks
         self.phase = Phase.SERVING
         self.until_ms = 0.0
 
     def begin(self, shared_listener: bool) -> None:
-        """SIGTERM has come.  A listener that another process shares is left to it at once."""
+        """Begin the shutdown, on SIGTERM.  A listener that another process shares is left to it at once."""
         if self.phase is not Phase.SERVING:
             return
         self.phase, self.front.ready = Phase.ACCEPTING, False
@@ -87,7 +91,7 @@
         )
         if shared_listener:
             for listener in self.hooks.listeners():
-                listener.stopListening()  # what lies in its queue is the other process's
+                listener.stopListening()  # the other process accepts what is in the backlog
             self._close()
         else:
             self.deadlines.after(MAX_ACCEPT_MS, self._stop_accepting)
@@ -99,11 +103,11 @@
         self._close()
 
     def _accept_all(self, listener: Listener) -> None:
-        """Guards against resets of connections that were made while the process was busy."""
+        """Accept the backlog; else its connections, made while the process was busy, would be reset."""
         for _ in range(MAX_ACCEPTED):
-            before = self.front.open_connections
+            count = self.front.open_connections
             listener.doRead()
-            if self.front.open_connections == before:
+            if self.front.open_connections == count:
                 return
 
     def _close(self) -> None:
@@ -113,12 +117,12 @@
 
     def _end_connections(self) -> None:
         now = self.deadlines.clock.now()
-        left = self.front.close_at_rest(now)
-        if (left or self.front.open_connections or self.router.open_requests) and now < self.until_ms:
+        remaining = self.front.close_at_rest(now)
+        if (remaining or self.front.open_connections or self.router.open_requests) and now < self.until_ms:
             self.deadlines.after(IDLE_POLL_MS, self._end_connections)
             return
         self.log.info(
-            "{name}: ends, {left} connections and {open} requests left",
+            "{name}: ending, {left} connections and {open} requests are still open",
             name=self.name,
             left=self.front.open_connections,
             open=self.router.open_requests,
@@ -134,7 +138,7 @@
             self.deadlines.after(FLUSH_MS, self._stop)
 
     def _stop(self) -> None:
-        """A front that keeps its connections may have taken a request since."""
+        """Stop the process; a front whose connections stay open may have accepted a request meanwhile."""
         if self.router.open_requests and self.deadlines.clock.now() < self.until_ms:
             self.deadlines.after(IDLE_POLL_MS, self._stop)
             return
