--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -1,7 +1,7 @@
-"""A client that has closed its connection or cancelled its request has gone: no attempt begins after that.
+"""No attempt begins for a client that has closed its connection or cancelled its request.
 
-Each test stops the program's process while the events arrive, so that it finds them in the bad order when it
-goes on: the request, or the end of an earlier attempt, ahead of the word that the client has left.
+Each test pauses the program's process while the events arrive, so that it reads them in the unfavourable
+order when it continues: the request, or the end of an earlier attempt, before the close or cancellation.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 
 from cloverhinge.lab.harness import WAIT_S, Program, Pump, Wire, answer, ask, site
 
-TEST = "OPTIONS rtsp://media/ping RTSP/1.0"
-PUSHED = "00000000000000ff"  # session of a test that shows that all which came before it has been read
+PING = "OPTIONS rtsp://media/ping RTSP/1.0"
+PING_SESSION = "00000000000000ff"  # of a ping whose answer shows that everything before it has been read
 
 
-def warm(program: Program, pumps: list[Pump]) -> Wire:
-    """A client whose set-up has left a connection to its server open: the next attempt leaves at once."""
+def connect_and_warm_up(program: Program, servers: list[Pump]) -> Wire:
+    """A client whose set-up has opened a connection to the server: the next attempt is sent at once."""
     client = program.connect()
     ask(client, 1)
     assert answer(client).status == 200
-    assert sum(len(pump.setups) for pump in pumps) == 1
+    assert sum(len(server.setups) for server in servers) == 1
     return client
 
 
 def read_all(client: Wire) -> None:
     """Returns once the program has read what other clients sent before this call."""
-    client.send(TEST, PUSHED, 3)
-    while answer(client).session != PUSHED:
+    client.send(PING, PING_SESSION, 3)
+    while answer(client).session != PING_SESSION:
         pass
 
 
 @pytest.mark.parametrize("how", ["closes", "resets", "cancels"])
-def test_who_left_before_its_request_was_read_is_not_sent_on(tmp_path: Path, how: str) -> None:
-    with site(tmp_path, 1) as (program, pumps, _):
-        other, leaver = warm(program, pumps), program.connect()
+def test_no_attempt_for_a_client_that_left_before_its_request_was_read(tmp_path: Path, how: str) -> None:
+    with site(tmp_path, 1) as (program, servers, _):
+        other, leaver = connect_and_warm_up(program, servers), program.connect()
         read_all(leaver)
         program.pause()
         name = ask(leaver, 2)
@@ -46,14 +46,14 @@
             leaver.close(reset=how == "resets")
         program.go_on()
         read_all(other)
-        ask(other, 3)  # comes to the server behind an attempt for the one who left
+        ask(other, 3)  # would reach the server after an attempt for the client that left
         assert answer(other).status == 200
-        assert pumps[0].setups == [f"{1:016x}", f"{3:016x}"]
+        assert servers[0].setups == [f"{1:016x}", f"{3:016x}"]
 
 
-def test_who_left_while_its_connection_waited_to_be_accepted_is_not_sent_on(tmp_path: Path) -> None:
-    with site(tmp_path, 1) as (program, pumps, _):
-        other = warm(program, pumps)
+def test_no_attempt_for_a_client_that_left_before_its_connection_was_accepted(tmp_path: Path) -> None:
+    with site(tmp_path, 1) as (program, servers, _):
+        other = connect_and_warm_up(program, servers)
         program.pause()
         leaver = program.connect()
         ask(leaver, 2)
@@ -62,26 +62,26 @@
         read_all(other)
         ask(other, 3)
         assert answer(other).status == 200
-        assert pumps[0].setups == [f"{1:016x}", f"{3:016x}"]
+        assert servers[0].setups == [f"{1:016x}", f"{3:016x}"]
 
 
 @pytest.mark.parametrize("how", ["closes", "cancels"])
-def test_who_left_is_given_no_further_attempt(tmp_path: Path, how: str) -> None:
-    """The refusal of the first attempt lies before the client's word in the program's sockets."""
-    with site(tmp_path, 2) as (program, pumps, _):
+def test_no_second_attempt_for_a_client_that_left(tmp_path: Path, how: str) -> None:
+    """The program reads the refusal of the first attempt before the client's close or cancellation."""
+    with site(tmp_path, 2) as (program, servers, _):
         clients = [program.connect() for _ in range(5)]
         for number, client in enumerate(clients, 1):
             ask(client, number, title=f"title-{number}")
             assert answer(client).status == 200
-        assert all(pump.setups for pump in pumps)  # connections to both stand open
-        asked: queue.Queue[tuple[Pump, Wire]] = queue.Queue()
-        for pump in pumps:
-            pump.setups.clear()
-            pump.script = lambda wire, _, pump=pump: asked.put((pump, wire))  # type: ignore[misc]
+        assert all(server.setups for server in servers)  # connections to both are open
+        received: queue.Queue[tuple[Pump, Wire]] = queue.Queue()
+        for server in servers:
+            server.setups.clear()
+            server.script = lambda wire, _, server=server: received.put((server, wire))  # type: ignore[misc]
         leaver = program.connect()
         name = ask(leaver, 9, title="title-1")
-        taker, wire = asked.get(timeout=WAIT_S)
-        other = next(pump for pump in pumps if pump is not taker)
+        first_server, wire = received.get(timeout=WAIT_S)
+        other_server = next(server for server in servers if server is not first_server)
         program.pause()
         wire.send("RTSP/1.0 453 No", name)
         if how == "closes":
@@ -90,19 +90,19 @@
             leaver.send("TEARDOWN rtsp://media/x RTSP/1.0", name, 2)
         program.go_on()
         read_all(clients[0])
-        other.script = other.accept
-        last = ask(clients[0], 10, dest=f"home:{other.cell};copies:1;top:1;viewer:00000000b4d65521")
+        other_server.script = other_server.accept
+        last = ask(clients[0], 10, dest=f"home:{other_server.cell};copies:1;top:1;viewer:00000000b4d65521")
         assert answer(clients[0]).status == 200
-        assert (taker.setups, other.setups) == ([name], [last])
+        assert (first_server.setups, other_server.setups) == ([name], [last])
 
 
 def test_a_session_handed_over_and_ended_at_once_is_released_at_its_server(tmp_path: Path) -> None:
-    """Guards against taking its end for a cancellation of a request that nothing has been done for."""
-    with site(tmp_path, 1) as (program, pumps, _):
+    """Its end must not be taken for the cancellation of a request of which no attempt was sent."""
+    with site(tmp_path, 1) as (program, servers, _):
         client = program.connect()
         program.pause()
         name = ask(client, 1, dest="home:0;copies:3;top:1;viewer:aa;at:s-00000000")
         client.send("TEARDOWN rtsp://media/x RTSP/1.0", name, 2)
         program.go_on()
         assert answer(client).status == 200
-        assert pumps[0].expect("TEARDOWN")[1].session == name
+        assert servers[0].expect("TEARDOWN")[1].session == name
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core without a wire: slots, deadlines, and the router's guards with stand-in ports."""
+"""The core without wire protocols: slots, deadlines, and the router's safety checks with fake ports."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from tests.helpers import FILM, PAID, SEATED, settings
 
 
-def test_the_clock_converts_at_the_module_only() -> None:
+def test_times_convert_between_milliseconds_and_microseconds() -> None:
     assert to_us(1.5) == 1500 and to_ms(1500) == 1.5
 
 
-def test_an_old_handle_never_finds_what_took_its_slot() -> None:
+def test_a_handle_of_a_removed_item_never_finds_the_next_item_of_its_slot() -> None:
     table: SlotTable[str] = SlotTable(2)
     first, second = table.put("a"), table.put("b")
     with pytest.raises(OverflowError):
@@ -48,26 +48,26 @@
     assert ran == [at for at in range(21) if at != 7] and len(deadlines) == 29
 
 
-def test_a_deadline_that_arms_itself_anew_does_not_hold_the_reactor() -> None:
+def test_a_deadline_that_schedules_itself_again_does_not_block_the_reactor() -> None:
     clock, ran = ManualClock(0.0), list[int]()
     deadlines = Deadlines(clock)
 
-    def again() -> None:
+    def reschedule() -> None:
         ran.append(1)
-        deadlines.after(0.0, again)
+        deadlines.after(0.0, reschedule)
 
-    deadlines.after(0.0, again)
+    deadlines.after(0.0, reschedule)
     deadlines.run()
     assert len(ran) == 1
 
 
-def test_one_timer_stands_for_all_deadlines() -> None:
+def test_one_timer_serves_all_deadlines() -> None:
     class Timer:
         def __init__(self, seconds: float) -> None:
-            self.seconds, self.live = seconds, True
+            self.seconds, self.active = seconds, True
 
         def cancel(self) -> None:
-            self.live = False
+            self.active = False
 
     timers: list[Timer] = []
 
@@ -77,15 +77,15 @@
 
     deadlines = Deadlines(ManualClock(0.0), call_later)
     late, early = deadlines.schedule(500.0, lambda: None), deadlines.schedule(100.0, lambda: None)
-    assert [t.seconds for t in timers if t.live] == [0.1]
+    assert [timer.seconds for timer in timers if timer.active] == [0.1]
     deadlines.cancel(early)
-    assert [t.seconds for t in timers if t.live] == [0.5]
+    assert [timer.seconds for timer in timers if timer.active] == [0.5]
     deadlines.cancel(late)
-    assert not [t for t in timers if t.live]
+    assert not [timer for timer in timers if timer.active]
 
 
 class Stand:
-    """A router with a clock that stands still, and ports that note what they are told."""
+    """A router with a manual clock, and with ports that record their calls."""
 
     def __init__(self, servers: int = 3, **changes: Any) -> None:
         self.clock = ManualClock()
@@ -99,8 +99,8 @@
 
     def take(self, class_name: str = "film", title: str = "t", wait_ms: float = 3000.0) -> Request:
         self.count += 1
-        ask = SetUpRequest(f"{self.count:016x}", class_name, title, 0, 6, 2, wait_ms)
-        request = self.router.open_request(ask, self, self)
+        set_up = SetUpRequest(f"{self.count:016x}", class_name, title, 0, 6, 2, wait_ms)
+        request = self.router.open_request(set_up, self, self)
         assert request is not None
         return request
 
@@ -113,7 +113,7 @@
             api.ListKind.DELTA, [api.ServerListing(server, server - 10, "z", "box", health)]
         )
 
-    # Boxes
+    # ServerPort
 
     def set_up(self, attempt: Attempt) -> None:
         self.sent.append(attempt)
@@ -128,16 +128,16 @@
     def set_rung(self, request: Request, rung: int) -> None:
         self.told.append(("rung", rung))
 
-    # Viewer
+    # ClientPort
 
     def served(self, answer: bytes) -> None:
         self.told.append(("served", answer))
 
-    def refused(self, hold_off_ms: float, ticket: str = "") -> None:
+    def refused(self, retry_after_ms: float, reservation_token: str = "") -> None:
         self.told.append(("refused",))
 
-    def failed(self, why: Outcome | None) -> None:
-        self.told.append(("failed", why))
+    def failed(self, outcome: Outcome | None) -> None:
+        self.told.append(("failed", outcome))
 
     def released(self, cause: Cause) -> None:
         self.told.append(("released", cause))
@@ -151,105 +151,107 @@
         self.told.append(("moved",))
 
     def finals(self) -> list[str]:
-        return [one[0] for one in self.told if one[0] in ("served", "refused", "failed")]
+        return [call[0] for call in self.told if call[0] in ("served", "refused", "failed")]
 
 
-def test_a_session_that_stands_is_released_once() -> None:
-    stand = Stand()
-    request = stand.take()
-    assert stand.router.may_write(stand.sent[0]) and stand.router.answered(stand.sent[0], b"made")
-    assert not stand.router.answered(stand.sent[0], b"made"), "a second answer finds no attempt"
-    assert stand.finals() == ["served"] and stand.router.open_requests == 0
+def test_an_established_session_is_released_once() -> None:
+    harness = Stand()
+    request = harness.take()
+    assert harness.router.may_write(harness.sent[0]) and harness.router.answered(harness.sent[0], b"made")
+    assert not harness.router.answered(harness.sent[0], b"made"), "a second answer is not accepted"
+    assert harness.finals() == ["served"] and harness.router.open_requests == 0
     for _ in range(2):
-        stand.router.session_ended(request, Outcome.SERVED)
-    assert stand.told.count(("released", Cause.ENDED)) == 1 and not stand.router.established
-    assert len(stand.router.requests) == 0 and not stand.router.by_session_id
+        harness.router.session_ended(request, Outcome.SERVED)
+    assert harness.told.count(("released", Cause.ENDED)) == 1 and not harness.router.established
+    assert len(harness.router.requests) == 0 and not harness.router.by_session_id
 
 
 @pytest.mark.parametrize("class_name,final", [("film", "refused"), ("paid", "failed")])
-def test_silence_is_answered_within_the_viewer_s_time(class_name: str, final: str) -> None:
-    stand = Stand()
-    request = stand.take(class_name)
+def test_a_request_is_answered_in_time_where_servers_are_silent(class_name: str, final: str) -> None:
+    harness = Stand()
+    request = harness.take(class_name)
     for _ in range(300):
-        for attempt in stand.sent:
-            stand.router.may_write(attempt)
-        stand.pass_ms(10.0)
-        if stand.finals():
+        for attempt in harness.sent:
+            harness.router.may_write(attempt)
+        harness.pass_ms(10.0)
+        if harness.finals():
             break
-    assert stand.finals() == [final] and request.state is State.OVER
-    assert stand.clock.now() <= request.received_ms + 3000.0 - ANSWER_MARGIN_MS + 10.0
-    assert [one[0] for one in stand.told].count("set up") == [one[0] for one in stand.told].count("give up")
-    assert class_name == "film" or len(stand.sent) == 1
-
-
-def test_the_next_attempt_waits_until_the_give_up_has_been_heard() -> None:
-    """Guards against two attempts out at once, when a set-up overtakes the give-up on another connection."""
-    stand = Stand()
-    stand.take()
-    stand.router.may_write(stand.sent[0])
-    stand.pass_ms(stand.sent[0].until_ms - stand.clock.now())
-    assert stand.told[-1] == ("give up", stand.sent[0].server) and len(stand.sent) == 1
-    stand.pass_ms(GIVE_UP_DELAY_MS)
-    assert len(stand.sent) == 2
-
-
-def test_what_was_never_written_did_not_run() -> None:
-    """Guards a paid set-up that waits for a connection: its time-out proves that it never ran."""
-    stand = Stand()
-    stand.take("paid")
-    stand.router.attempt_ended(stand.sent[0], Outcome.CONNECT_FAILED)
-    assert len(stand.sent) == 2
-    stand.router.may_write(stand.sent[1])
-    stand.router.attempt_ended(stand.sent[1], Outcome.RESET)
-    assert len(stand.sent) == 2 and stand.finals() == ["failed"]
-
-
-def test_a_drain_between_choice_and_first_byte_sends_nothing_there() -> None:
-    stand = Stand()
-    stand.take("paid")
-    first = stand.sent[0]
-    stand.told_of(first.server, api.Health.DRAINING)
-    assert not stand.router.may_write(first)
-    assert [one.server == first.server for one in stand.sent] == [True, False]
-    assert stand.router.may_write(stand.sent[1])
-
-
-def test_a_viewer_that_leaves_gets_nothing_and_its_attempt_is_given_up() -> None:
-    stand = Stand()
-    request = stand.take()
-    stand.router.viewer_left(request)
-    assert stand.finals() == [] and ("give up", stand.sent[0].server) in stand.told
-    assert not stand.router.answered(stand.sent[0], b"late")
-    stand.pass_ms(10_000.0)
-    assert stand.finals() == [] and stand.router.open_requests == 0
-
-
-def test_a_lost_server_s_sessions_are_released_to_their_viewers() -> None:
-    stand = Stand()
-    stand.take()
-    stand.router.answered(stand.sent[0], b"made")
-    stand.told_of(stand.sent[0].server, api.Health.GONE)
-    assert ("released", Cause.CUT) in stand.told and not stand.router.established
-
-
-def test_the_guards_count_in_release_builds_and_assert_in_debug_builds() -> None:
-    stand = Stand(classes=(FILM, PAID, SEATED))
-    request = stand.take("paid")
-    stand.router.may_write(stand.sent[0])
+    assert harness.finals() == [final] and request.state is State.OVER
+    assert harness.clock.now() <= request.received_ms + 3000.0 - ANSWER_MARGIN_MS + 10.0
+    assert [call[0] for call in harness.told].count("set up") == [call[0] for call in harness.told].count(
+        "give up"
+    )
+    assert class_name == "film" or len(harness.sent) == 1
+
+
+def test_the_next_attempt_waits_until_the_give_up_has_arrived() -> None:
+    """Otherwise a set-up could overtake the give-up on another connection, and two attempts would overlap."""
+    harness = Stand()
+    harness.take()
+    harness.router.may_write(harness.sent[0])
+    harness.pass_ms(harness.sent[0].until_ms - harness.clock.now())
+    assert harness.told[-1] == ("give up", harness.sent[0].server) and len(harness.sent) == 1
+    harness.pass_ms(GIVE_UP_DELAY_MS)
+    assert len(harness.sent) == 2
+
+
+def test_a_paid_set_up_that_was_not_written_is_tried_again() -> None:
+    """An attempt that ends while it waits for a connection never ran; one that was written may have run."""
+    harness = Stand()
+    harness.take("paid")
+    harness.router.attempt_ended(harness.sent[0], Outcome.CONNECT_FAILED)
+    assert len(harness.sent) == 2
+    harness.router.may_write(harness.sent[1])
+    harness.router.attempt_ended(harness.sent[1], Outcome.RESET)
+    assert len(harness.sent) == 2 and harness.finals() == ["failed"]
+
+
+def test_a_server_that_drains_before_the_first_byte_gets_no_set_up() -> None:
+    harness = Stand()
+    harness.take("paid")
+    first = harness.sent[0]
+    harness.told_of(first.server, api.Health.DRAINING)
+    assert not harness.router.may_write(first)
+    assert [attempt.server == first.server for attempt in harness.sent] == [True, False]
+    assert harness.router.may_write(harness.sent[1])
+
+
+def test_a_viewer_that_leaves_gets_no_answer_and_its_attempt_is_given_up() -> None:
+    harness = Stand()
+    request = harness.take()
+    harness.router.viewer_left(request)
+    assert harness.finals() == [] and ("give up", harness.sent[0].server) in harness.told
+    assert not harness.router.answered(harness.sent[0], b"late")
+    harness.pass_ms(10_000.0)
+    assert harness.finals() == [] and harness.router.open_requests == 0
+
+
+def test_viewers_of_a_lost_server_are_told_that_their_sessions_ended() -> None:
+    harness = Stand()
+    harness.take()
+    harness.router.answered(harness.sent[0], b"made")
+    harness.told_of(harness.sent[0].server, api.Health.GONE)
+    assert ("released", Cause.CUT) in harness.told and not harness.router.established
+
+
+def test_safety_checks_assert_in_debug_builds_and_count_violations() -> None:
+    harness = Stand(classes=(FILM, PAID, SEATED))
+    request = harness.take("paid")
+    harness.router.may_write(harness.sent[0])
     request.may_have_run = True
     with pytest.raises(AssertionError, match="one attempt out"):
-        stand.router._set_up(request.handle, 11, 0)
+        harness.router._set_up(request.handle, 11, 0)
     request.attempt = None
     with pytest.raises(AssertionError, match="paid set-up sent once"):
-        stand.router._set_up(request.handle, 11, 0)
+        harness.router._set_up(request.handle, 11, 0)
     with pytest.raises(AssertionError, match="refused only if"):
-        stand.router._refuse(request.handle, 0.0)
+        harness.router._refuse(request.handle, 0.0)
     assert invariants.violations["paid set-up sent once"] == 1
-    assert len(stand.sent) == 1 and stand.finals() == []
+    assert len(harness.sent) == 1 and harness.finals() == []
 
 
-def test_seats_are_kept_with_set_ups_included() -> None:
-    stand = Stand(classes=(FILM, PAID, SEATED))
+def test_pending_set_ups_count_towards_the_seats() -> None:
+    harness = Stand(classes=(FILM, PAID, SEATED))
     for _ in range(3):
-        stand.take("seated")
-    assert len(stand.sent) == 2 and stand.finals() == ["refused"]
+        harness.take("seated")
+    assert len(harness.sent) == 2 and harness.finals() == ["refused"]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,7 +1,7 @@
-"""The end of the program: whatever it has taken is answered, in whatever order requests and the end come.
+"""Shutdown: every accepted request is answered, in whatever order requests and the shutdown's events come.
 
-The process stands still while its time to accept runs out, so that it finds the end of that time ahead of
-what has come meanwhile.
+The process is paused while its time to accept requests runs out, so that it handles the end of that time
+before the input that has arrived meanwhile.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from cloverhinge.lab.harness import WAIT_S, Message, Program, Wire, answer, ask, ping, site
 
 ACCEPT_S = 0.9  # longer than requests are accepted after SIGTERM
-EXIT_S = 1.0  # longer than the end takes where nothing is open
+EXIT_S = 1.0  # longer than the shutdown takes if no request is open
 
 
-def told_to_end(program: Program) -> None:
+def begin_shutdown(program: Program) -> None:
     program.process.send_signal(signal.SIGTERM)
     program.wait_for("told to end")
 
 
-class Slow:
-    """A server that answers its set-ups when told to."""
+class DelayedAnswer:
+    """A media server's behaviour: answers a set-up once `go` is set."""
 
     def __init__(self) -> None:
         self.go = threading.Event()
@@ -38,34 +38,34 @@
         threading.Thread(target=late, daemon=True).start()
 
     def answer_after_exit_would_come(self, program: Program, client: Wire) -> None:
-        """Lets the time pass in which a program that forgot the request would be gone."""
+        """Waits for longer than a program that forgot the request would run, then lets the server answer."""
         select.select([client.sock], [], [], EXIT_S)
         self.go.set()
 
 
 @pytest.mark.parametrize("where", ["on an open connection", "on one that waits to be accepted"])
-def test_a_request_found_after_the_time_to_accept_is_answered(tmp_path: Path, where: str) -> None:
-    with site(tmp_path, 1) as (program, pumps, _):
-        pumps[0].script = slow = Slow()
+def test_a_request_read_after_the_time_to_accept_is_answered(tmp_path: Path, where: str) -> None:
+    with site(tmp_path, 1) as (program, servers, _):
+        servers[0].script = delayed = DelayedAnswer()
         client = program.connect()
         ping(client)
-        told_to_end(program)
+        begin_shutdown(program)
         program.pause()
         if where != "on an open connection":
             client = program.connect()
         ask(client, 1)
         program.go_on_after(ACCEPT_S, client)
-        slow.answer_after_exit_would_come(program, client)
+        delayed.answer_after_exit_would_come(program, client)
         assert answer(client).status == 200
         assert program.process.wait(WAIT_S) == 0
 
 
-def test_a_request_in_two_pieces_around_the_end_is_answered(tmp_path: Path) -> None:
+def test_a_request_whose_second_half_arrives_during_shutdown_is_answered(tmp_path: Path) -> None:
     with site(tmp_path, 1) as (program, _, _log):
         client = program.connect()
         ping(client)
         client.sock.sendall(b"SETUP rtsp://media/7f3a")
-        told_to_end(program)
+        begin_shutdown(program)
         program.pause()
         client.sock.sendall(
             b"9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000002\r\nX-Call-Class: free\r\n"
@@ -77,16 +77,16 @@
         assert program.process.wait(WAIT_S) == 0
 
 
-def test_a_second_request_behind_an_answer_is_answered_too(tmp_path: Path) -> None:
-    """The second one comes in the moment of the first one's answer, the last thing that the end waits for."""
-    with site(tmp_path, 1) as (program, pumps, _):
-        first, second = Slow(), Slow()
-        pumps[0].script = first
+def test_a_request_that_arrives_with_the_last_awaited_answer_is_answered(tmp_path: Path) -> None:
+    """The second request arrives together with the answer to the first, the last that the shutdown awaits."""
+    with site(tmp_path, 1) as (program, servers, _):
+        first, second = DelayedAnswer(), DelayedAnswer()
+        servers[0].script = first
         client = program.connect()
         ask(client, 1)
-        pumps[0].expect("SETUP")
-        pumps[0].script = second
-        told_to_end(program)
+        servers[0].expect("SETUP")
+        servers[0].script = second
+        begin_shutdown(program)
         program.pause()
         first.go.set()
         ask(client, 2)
@@ -97,20 +97,20 @@
         assert program.process.wait(WAIT_S) == 0
 
 
-def test_an_end_at_rest_takes_a_second_at_most_and_a_second_sigterm_changes_nothing(tmp_path: Path) -> None:
+def test_an_idle_shutdown_takes_a_second_at_most_and_a_second_sigterm_has_no_effect(tmp_path: Path) -> None:
     with site(tmp_path, 1) as (program, _, _log):
         client = program.connect()
         ping(client)
-        told_to_end(program)
+        begin_shutdown(program)
         program.process.send_signal(signal.SIGTERM)
-        assert client.read() is None  # its end is announced
+        assert client.read() is None  # a half-close announces the end
         assert program.process.wait(EXIT_S) == 0
 
 
-def test_a_client_that_keeps_half_a_request_does_not_keep_the_program(tmp_path: Path) -> None:
+def test_a_client_with_an_incomplete_request_does_not_prevent_the_exit(tmp_path: Path) -> None:
     with site(tmp_path, 1) as (program, _, _log):
         client = program.connect()
         ping(client)
         client.sock.sendall(b"SETUP rtsp://media/7f3a")
-        told_to_end(program)
+        begin_shutdown(program)
         assert program.process.wait(WAIT_S) == 0
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The program on other deployments: their settings are read, and none of their names stands in it."""
+"""The program on other deployments: their settings can be read, and none of their names is in the source."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 SITES = sorted((ROOT / "deploy/sites").glob("*.toml"))
 EFFECTS = {"safe": "repeatable", "unsafe": "once"}
-CUSTOMERS = ("wheatland", "regina", "treino", "parana")  # whose deployments the operators play
+CUSTOMERS = ("wheatland", "regina", "treino", "parana")  # whose deployments the operators run
 
 
 def read(site: Path) -> dict[str, Any]:
@@ -23,19 +23,19 @@
 
 
 def settings_of(site: dict[str, Any]) -> dict[str, Any]:
-    """The settings that a router of the deployment is told, as far as the site file gives them."""
-    rules, limits, classes, of_family = site["rules"], site["allow"], site["class"], site["fam"]["class"]
+    """The settings that a router of the deployment receives, as far as the site file gives them."""
+    rules, limits, classes, family_rows = site["rules"], site["allow"], site["class"], site["fam"]["class"]
     return {
         **SETTINGS,
         "classes": [
             {
-                "name": one["name"],
-                "effect": EFFECTS[one["effect"]],
-                "aimUs": 1000 * one["aim_ms"],
-                "hardLimitUs": 1000 * one["deadline_ms"],
-                "worth": one["worth"],
+                "name": row["name"],
+                "effect": EFFECTS[row["effect"]],
+                "aimUs": 1000 * row["aim_ms"],
+                "hardLimitUs": 1000 * row["deadline_ms"],
+                "worth": row["worth"],
             }
-            for one in classes
+            for row in classes
         ],
         "failureDomains": site["net"]["zones"],
         "zone": site["net"]["zones"][0],
@@ -55,9 +55,9 @@
         },
         "specifics": {
             **SETTINGS["specifics"],
-            "seats": [4 if "seats" in one else 0 for one in of_family],
-            "classLive": [one.get("live", False) for one in of_family],
-            "scaleByClass": [one["scale"] for one in of_family],
+            "seats": [4 if "seats" in row else 0 for row in family_rows],
+            "classLive": [row.get("live", False) for row in family_rows],
+            "scaleByClass": [row["scale"] for row in family_rows],
             "classFloor": [0] * len(classes),
             "highestRung": [1] * len(classes),
             "placesByKind": [50] * 2,
@@ -67,11 +67,11 @@
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site.stem)
 def test_the_settings_of_each_deployment_are_read(site: Path, tmp_path: Path) -> None:
-    told = settings_of(read(site))
+    settings = settings_of(read(site))
     log = ChangeLog()
     known = {"seq": 1, "results": [log.event([], full=True)]}
     config = tmp_path / "config.json"
-    config.write_text(json.dumps(Program.configuration("n0", log, known, **told)))
+    config.write_text(json.dumps(Program.configuration("n0", log, known, **settings)))
     log.stop()
     done = subprocess.run(
         [sys.executable, "-m", "cloverhinge", "check", str(config)],
@@ -83,22 +83,22 @@
     assert done.returncode == 0, done.stdout + done.stderr
 
 
-def test_the_deployments_differ_in_what_decides() -> None:
-    """One with two classes in two zones, one with four; paid classes at places where others have none."""
+def test_the_deployments_cover_different_classes_and_zones() -> None:
+    """One has two classes in two zones, one has four classes; paid classes are at different positions."""
     sites = [read(site) for site in SITES]
     assert {len(site["class"]) for site in sites} == {2, 4}
     assert max(len(site["net"]["zones"]) for site in sites) == 2
-    assert all("unsafe" in {one["effect"] for one in site["class"]} for site in sites)
+    assert all("unsafe" in {row["effect"] for row in site["class"]} for site in sites)
 
 
-def test_no_name_of_a_deployment_stands_in_the_program() -> None:
+def test_no_name_of_a_deployment_is_in_the_source() -> None:
     """Classes, names, tenants, limits and costs come from the settings alone."""
     names = set(CUSTOMERS)
     for site in map(read, SITES):
         names |= {
             site["name"],
             *site["net"]["zones"],
-            *(one["name"] for one in site["class"]),
+            *(row["name"] for row in site["class"]),
             *(tier["name"] for tier in site["tier"]),
             *(kind["name"] for tier in site["tier"] for kind in tier["kind"]),
         }
