--- a/cloverhinge/decision/__init__.py
+++ b/cloverhinge/decision/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: pure, told events, answers with actions, in whole microseconds."""
+"""The decision module: takes events and returns actions without any I/O, in whole microseconds."""
--- a/cloverhinge/decision/capacity.py
+++ b/cloverhinge/decision/capacity.py
@@ -1,8 +1,8 @@
-"""Whether the module would take a session now, asked without an event: no draw, no step, no action.
+"""Whether the decision module would take a session now, without an event: no random draw, no step, no action.
 
-The same tests as the module's own path (`usable`, `fits`, `plan_steps`) for a session at its class's floor.
-Chances that the module draws (cold boxes) count as won, and what it would ask first counts as known: what
-is told "room" may still be refused.
+The tests are those of the module's own path (`usable`, `fits`, `plan_steps_down`), for a session at its
+class's floor.  Random draws of the module (cold media servers) count as won, and loads that it would probe
+first count as known, so a session for which capacity is stated may still be refused.
 """
 
 from __future__ import annotations
@@ -18,48 +18,55 @@
 def spare_capacity(
     controller: Controller, now_us: int, class_name: str, first_cell: int, copies: int, title: str
 ) -> int:
-    """How many more of a class the holders of a title have room for, about; 0 where none has.
+    """Returns roughly how many more sessions of a class the holders of a title have capacity for.
 
-    Where the class has seats, as many as the title has left.
+    Where the class has seats, it is no more than the title has left.  Raises KeyError for an unknown class.
     """
-    kind = controller.classes[class_name]
+    service_class = controller.classes[class_name]
     if now_us > controller.now_us:
         controller.now_us = now_us
-        controller.load_statistics_cache.clear()  # they were of the last event
+        controller.load_statistics_cache.clear()  # valid for the last event only
     request = api.SessionRequested(
-        -1, class_name, title, first_cell, copies, kind.floor, now_us + kind.deadline_us
+        -1, class_name, title, first_cell, copies, service_class.floor, now_us + service_class.deadline_us
     )
     session = Session(
         request,
-        kind,
+        service_class,
         now_us,
-        kind.floor,
+        service_class.floor,
         controller.rates[class_name],
         controller.gains[class_name],
-        rung=kind.floor,
+        rung=service_class.floor,
+    )
+    seats = (
+        service_class.seats - held_seats(controller.sessions, session) if service_class.seats else math.inf
     )
-    seats = kind.seats - held_seats(controller.sessions, session) if kind.seats else math.inf
     if seats <= 0:
         return 0
     holders = controller.fleet.holders(request)
     session.cold_draws = {server.listing.server: True for server in holders}
-    able = [server for server in holders if controller.usable(server, session)]
-    kb, mark = session.rates[kind.floor], controller.admission_limit(session, kind.floor)
-    fitting = sum(
-        fitting_sessions(controller, server, kb, mark) for server in able if controller.fits(server, kb, mark)
+    usable_holders = [server for server in holders if controller.usable(server, session)]
+    rate_kb, load_limit = (
+        session.rates[service_class.floor],
+        controller.admission_limit(session, service_class.floor),
+    )
+    spare = sum(
+        fitting_sessions(controller, server, rate_kb, load_limit)
+        for server in usable_holders
+        if controller.fits(server, rate_kb, load_limit)
     )
-    if fitting:
-        return int(min(fitting, seats))
+    if spare:
+        return int(min(spare, seats))
     return int(
         any(
             controller.fits(server, 0, math.inf) and can_free_capacity(controller, server, session)
-            for server in able
+            for server in usable_holders
         )
     )
 
 
-def fitting_sessions(controller: Controller, server: Server, kb: float, load_limit: float) -> int:
-    """Sessions of a rate that a server has room for up to a mark; one at least, as it fits."""
+def fitting_sessions(controller: Controller, server: Server, rate_kb: float, load_limit: float) -> int:
+    """Returns the sessions of a rate that a server has capacity for up to a load; at least 1, as one fits."""
     link, uplink, places = server.link, server.uplink, server.places
     return max(
         1,
@@ -68,8 +75,8 @@
                 (load_limit - controller.load_of(link))
                 * link.capacity
                 * controller.warm_fraction(server)
-                / kb,
-                (load_limit - controller.load_of(uplink)) * uplink.capacity / kb,
+                / rate_kb,
+                (load_limit - controller.load_of(uplink)) * uplink.capacity / rate_kb,
                 (1 - controller.load_of(places)) * places.capacity,
             )
         ),
@@ -77,11 +84,12 @@
 
 
 def can_free_capacity(controller: Controller, server: Server, session: Session) -> bool:
-    """Whether steps down of playing sessions that pay would let it in at its floor."""
+    """Whether worthwhile steps down of playing sessions would admit the session at its floor."""
     floor, link, uplink = session.service_class.floor, server.link, server.uplink
-    kb = session.rates[floor]
+    rate_kb = session.rates[floor]
     over = {
-        link: (controller.load_of(link) - ADMIT_LOAD) * link.capacity * controller.warm_fraction(server) + kb,
-        uplink: (controller.load_of(uplink) - ADMIT_LOAD) * uplink.capacity + kb,
+        link: (controller.load_of(link) - ADMIT_LOAD) * link.capacity * controller.warm_fraction(server)
+        + rate_kb,
+        uplink: (controller.load_of(uplink) - ADMIT_LOAD) * uplink.capacity + rate_kb,
     }
     return controller.plan_steps_down(over, {}, session.gains[floor] / MIN_GAIN_RATIO, False)
--- a/cloverhinge/decision/interface.py
+++ b/cloverhinge/decision/interface.py
@@ -1,7 +1,7 @@
-"""What goes into and comes out of the decision module: settings, events and actions.
+"""The interface of the decision module: settings, events and actions.
 
-All times are whole microseconds, all rates kB a second.  A server, a session and a title are known by
-opaque ids.  A load is what is asked of a limit over what the limit gives, so it may exceed 1.
+All times are whole microseconds, all rates kB a second.  A server, a session and a title are identified by
+opaque ids.  A load is the demand on a limit over its capacity, so it may exceed 1.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """What repeating a set-up of a class does."""
+    """Whether a set-up of a class may be repeated: always, with its key, or never."""
 
     REPEATABLE = "repeatable"
     BY_KEY = "by_key"
@@ -19,13 +19,14 @@
 
 
 class Group(Enum):
-    """Where a keyed set-up may be repeated, seen from the server that may have run it."""
+    """The servers at which a keyed set-up may be repeated, relative to the server that may have run it."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
     def includes(self, first: ServerListing, second: ServerListing) -> bool:
+        """Whether two servers are in the same group of this kind."""
         return (
             self is Group.ALL
             or (self is Group.ZONE and first.zone == second.zone)
@@ -34,6 +35,8 @@
 
 
 class Health(Enum):
+    """A server's state in the list; only ready servers get new sessions."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
@@ -58,6 +61,8 @@
 
 
 class ListKind(Enum):
+    """What a fleet update holds: a full list, one from a cache, changes, or the failure to get a list."""
+
     FULL = "full"
     CACHED = "cached"
     DELTA = "delta"
@@ -66,22 +71,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
+    """A class of service; its rungs are indices of the ladder."""
+
     name: str
     effect: Effect = Effect.REPEATABLE
-    aim_us: int = 1_000_000
-    deadline_us: int = 4_000_000
-    worth: float = 1.0
-    floor: int = 0  # the lowest rung that may be set
+    aim_us: int = 1_000_000  # time within which a set-up should succeed
+    deadline_us: int = 4_000_000  # time after which a set-up must have its final answer
+    worth: float = 1.0  # worth of a session relative to those of other classes
+    floor: int = 0  # the lowest rung that a session may play at
     top: int = 255  # the highest rung that the class uses
-    rate_scale: float = 1.0  # its rates over those of the ladder
-    seats: int = 0  # sessions of one title that an instance may hold; 0 = no cap
+    rate_scale: float = 1.0  # factor of its rates over those of the ladder
+    seats: int = 0  # most sessions of one title at an instance; 0 = unlimited
     live: bool = False
     group: Group = Group.ALL
-    key_ttl_us: int = 0
+    key_ttl_us: int = 0  # time within which a keyed set-up may be repeated
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant and its share of the traffic."""
+
     name: str
     quota_per_s: float = 0.0  # requests a second within its share, over all instances
     share: float = 0.0
@@ -89,14 +98,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is told when it starts."""
+    """The settings of an instance.  Raises ValueError with the name of a setting that is out of range."""
 
     classes: tuple[ServiceClass, ...]
     ladder_kb: tuple[float, ...]
     rung_worth: tuple[float, ...]
-    places_by_kind: dict[str, int]  # streams that a server of a kind runs at most
-    weight_kb: float  # link of a server for each unit of its weight
-    uplink_kb: float = 0.0  # mean uplink of a rack; 0 = not told
+    places_by_kind: dict[str, int]  # most streams of a server, by its kind
+    weight_kb: float  # capacity of a server's link for each unit of its weight
+    uplink_kb: float = 0.0  # mean capacity of a rack's uplink; 0 = unknown
     cells: int = 1
     racks: int = 1
     fleet_size: int = 1
@@ -104,35 +113,35 @@
     zone: str = ""
     tenants: tuple[Tenant, ...] = ()
     over_share_worth: float = 1.0
-    join: float = 1.0  # what a further viewer of a live title adds to a shared stream
-    full_from: float = 0.0  # a server answers "full" from this link load on; 0 = never
-    notes_late_us: int = 1_000_000
+    join: float = 1.0  # rate that a further viewer of a live title adds to a shared stream, as a share
+    full_from: float = 0.0  # link load from which a server answers "full"; 0 = never
+    notes_late_us: int = 1_000_000  # delay of load notes
     told_every_us: int = 0  # time between load notes on playing sessions; 0 = none
-    stall_cost: float = 0.0  # points of worth lost for each point of the rate that is missing
+    stall_cost: float = 0.0  # share of worth lost for each share of the rate that is missing
     switch_s: float = 0.0  # seconds of a class's worth that a change of rung costs
     max_attempts: int = 1
     max_retry_after_us: int = 0
     retry_after: bool = True
     may_probe: bool = False
-    must_subscribe: bool = False  # changes to the server list come only after Subscribe
-    probe_price: float = 0.0  # worth of sessions that a probe costs
-    handshake_price: float = 0.0  # and a connection opened for it
-    move_price: float = 0.0  # share of a session's worth that a move costs
-    cross_zone_price: float = 0.0  # share of worth lost while a session crosses zones
-    cold_us: int = 0
-    cold_from: float = 1.0  # share of its capacity that a server starts with
+    must_subscribe: bool = False  # changes of the server list are sent only after Subscribe
+    probe_price: float = 0.0  # cost of a probe, in worth of sessions
+    handshake_price: float = 0.0  # cost of a connection opened for it, likewise
+    move_price: float = 0.0  # cost of a move, as a share of the session's worth
+    cross_zone_price: float = 0.0  # share of worth lost while viewer and server are in different zones
+    cold_us: int = 0  # time that a server takes to warm up; 0 = none
+    cold_from: float = 1.0  # share of its capacity that a cold server starts with
     fall_multiple: float = 0.0
     drain_grace_us: int = 0
-    budget_free: float = 0.0
-    budget_ratio: float = 0.0
-    budget_span_us: int = 0  # 0 = further attempts are not rationed
+    budget_free: float = 0.0  # further attempts within the span that are always allowed
+    budget_ratio: float = 0.0  # and those for each request within it
+    budget_span_us: int = 0  # span of the budget of further attempts; 0 = no budget
 
     def rates(self, service_class: ServiceClass) -> list[float]:
-        """kB a second of each rung, as the class uses it."""
+        """Returns the rates of the rungs for a class."""
         return [kb * service_class.rate_scale for kb in self.ladder_kb]
 
     def step_gains(self, service_class: ServiceClass) -> list[float]:
-        """Worth of the step up to each rung for each kB of it; at the class's floor, of all of its rate."""
+        """Returns the worth of the step up to each rung for each kB; at the floor, of the whole rate."""
         worth, kb = self.rung_worth, self.rates(service_class)
         return [
             service_class.worth
@@ -203,36 +212,40 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerListing:
+    """A server as the list has it."""
+
     server: int
     cell: int
     zone: str = ""
     kind: str = ""
     health: Health = Health.READY
     weight: float = 1.0
-    started_us: int = 0  # its most recent start; 0 = long ago
-    after_maintenance: bool = False  # put back by hand: what was known of it is of an earlier life
+    started_us: int = 0  # time of its latest start; 0 = long ago
+    after_maintenance: bool = False  # put back by an operator: what was learned of it before is void
 
 
 @dataclass(frozen=True, slots=True)
 class FleetUpdate:
+    """A list of servers, or the entries of it that changed."""
+
     kind: ListKind
     listings: tuple[ServerListing, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class SessionRequested:
-    """A session to be set up, or, with `server` given, one that was playing when the instance started."""
+    """A session to be set up or, with `server` given, one that plays there already and is taken over."""
 
     session: int
     class_name: str
     title: str
-    first_cell: int
-    copies: int
+    first_cell: int  # the first of the cells that hold the title
+    copies: int  # number of consecutive cells that hold it
     ceiling: int  # highest rung that the viewer can use
     expires_us: int
     tenant: str = ""
     viewer: str = ""
-    length_us: int = 0  # rough hint of how long it is watched; 0 = none
+    length_us: int = 0  # rough estimate of how long it will be watched; 0 = none
     returning: bool = False
     moved: bool = False
     server: int | None = None
@@ -240,6 +253,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionStarted:
+    """A set-up succeeded: the session plays."""
+
     session: int
     server: int
     attempt: int
@@ -247,24 +262,30 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    streams: float | None = None
-    link: float | None = None
-    uplink: float | None = None
+    """The loads of a server; None where a value is not reported."""
+
+    streams: float | None = None  # number of streams
+    link: float | None = None  # load of the link
+    uplink: float | None = None  # load of the rack's uplink
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt failed or was cancelled, or the session that it began ended."""
+
     session: int
     attempt: int
     server: int
     outcome: Outcome
-    concluded: bool  # the request is over; otherwise a final answer is still owed
+    concluded: bool  # the request is over; otherwise it still needs a final answer
     took_us: int = 0
     report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class DeliveredShare:
+    """The share of its rate that a playing session gets."""
+
     session: int
     server: int
     share: float
@@ -272,6 +293,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RungReported:
+    """The rung that a session plays at, as its server reports it."""
+
     session: int
     server: int
     rung: int
@@ -279,6 +302,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkNote:
+    """A load note: the load of a server's link, sent on its playing sessions."""
+
     session: int
     server: int
     load: float
@@ -286,6 +311,8 @@
 
 @dataclass(frozen=True, slots=True)
 class UplinkNote:
+    """A load note: the load of the uplink of a server's rack, sent on its playing sessions."""
+
     session: int
     server: int
     load: float
@@ -293,16 +320,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewerLeft:
+    """The viewer gave the session up, or its request needs no answer any more."""
+
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """The time of a SetTimer action with this token has come."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
+    """A probe was answered or failed."""
+
     server: int
     outcome: Outcome
     took_us: int = 0
@@ -329,6 +362,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
+    """Send a set-up of the session to the server, and give up after the timeout."""
+
     session: int
     server: int
     timeout_us: int
@@ -336,46 +371,60 @@
 
 @dataclass(frozen=True, slots=True)
 class SetRung:
+    """Let the session play at this rung; before SetUp, from its start on."""
+
     session: int
     rung: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
+    """Refuse the request; the viewer may come again after this time (0 = not stated)."""
+
     session: int
     retry_after_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
+    """Fail the request, as a set-up that must not be repeated may have run."""
+
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Take a playing session off its server; the viewer comes back to this instance."""
+    """Take a playing session off its server; the viewer returns to this instance."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
+    """Subscribe to changes of the server list."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Ask a server for its load, which also shows whether it works."""
+
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Send TimerFired with the token after the delay."""
+
     delay_us: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Log a line."""
+
     text: str
 
 
--- a/cloverhinge/decision/logic.py
+++ b/cloverhinge/decision/logic.py
@@ -1,7 +1,9 @@
-"""Who plays, on which server, at which rung.  Events and actions: interface.py; exceptions are marked below.
+"""Decides which sessions play, on which server and at which rung.  Events and actions are in interface.py.
 
 DALA token routing: a title's token holder takes its new sessions until the admission test fails; the token
-then passes to the least-loaded holder that admits, else the session is refused."""
+then passes to the least-loaded holder that admits, else the session is refused.  Deviations from it are
+marked "Exception" where they are made.
+"""
 
 from __future__ import annotations
 
@@ -14,24 +16,27 @@
 from cloverhinge.decision.rungs import SHORTFALL_LOAD, STEP_DOWN_TARGET_LOAD, RungControl
 from cloverhinge.decision.state import Server, Session, held_seats
 
-MIN_DELIVERED_SHARE = 0.98  # share of the rate under which viewers lose
-TICK_US = 500_000  # pace of raising
-REPORT_AGE_US = 400_000  # how old a report in an outcome is taken to be: refreshed a few times a second
-MAX_PROBES = 2  # servers asked for one session; sampling two is nearly as good as asking all
-ATTEMPT_TIME_SHARE = 0.7  # of the time to the aim that an attempt may take, so that another fits
-RETRY_AFTER_US = 1_500_000  # a refused viewer finds other room after about this time
-MAX_TOKENS = 4096  # titles with a token, the latest asked for; another starts at its hashed holder again
-TICK, RESUBSCRIBE = 0, 1  # names of the two timers
+MIN_DELIVERED_SHARE = 0.98  # share of a session's rate below which its viewer loses quality
+TICK_US = 500_000  # interval at which rungs are raised
+REPORT_AGE_US = 400_000  # assumed age of a report in an outcome: servers refresh it a few times a second
+MAX_PROBES = 2  # servers probed for one session; sampling two is nearly as good as probing all
+ATTEMPT_TIME_SHARE = 0.7  # share of the time to the aim that an attempt may take, so that another one fits
+RETRY_AFTER_US = 1_500_000  # after about this time a refused viewer finds capacity that others left
+MAX_TOKENS = 4096  # titles that have a token, the latest requested; others start at their hashed holder again
+TICK, RESUBSCRIBE = 0, 1  # tokens of the two timers
 
 
-class Controller(RungControl):  # acts on events alone and keeps no clock
+class Controller(RungControl):
+    """The decision module of one instance.  It acts on events alone and keeps no clock."""
+
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
+        """Takes in an event and returns the actions that follow.  Events have to come in order of time."""
         self.actions, self.now_us = [], now_us
         if self.started_us < 0:
             self.started_us = now_us
             self.actions = [api.SetTimer(TICK_US, TICK), *[api.Subscribe()] * self.settings.must_subscribe]
         self.load_statistics_cache.clear()
-        servers, past_us = self.fleet.servers, now_us - self.settings.notes_late_us
+        servers, measured_us = self.fleet.servers, now_us - self.settings.notes_late_us
         match event:
             case api.FleetUpdate():
                 self.fleet.apply_update(now_us, event)
@@ -48,20 +53,26 @@
                 self.attempt_ended(event)
             case api.LinkNote(number, server, load) if server in servers:
                 session = self.sessions.get(number)
-                if session and not session.first_note_seen:  # the note at set-up tells of now
-                    session.first_note_seen, past_us = True, now_us
-                self.update_load(servers[server], api.LoadReport(link=load), past_us, act=True)
+                if session and not session.first_note_seen:  # the note at set-up is not delayed
+                    session.first_note_seen, measured_us = True, now_us
+                self.update_load(servers[server], api.LoadReport(link=load), measured_us, is_note=True)
             case api.UplinkNote(_, server, load) if server in servers:
-                self.update_load(servers[server], api.LoadReport(uplink=load), past_us, act=True)
+                self.update_load(servers[server], api.LoadReport(uplink=load), measured_us, is_note=True)
             case api.DeliveredShare(_, server, share) if server in servers and share >= MIN_DELIVERED_SHARE:
                 for limit in (x for x in servers[server].limits()[::2] if x.inferred):
-                    limit.load, limit.inferred = None, False  # over, and how much room there is is unknown
+                    limit.load, limit.inferred = None, False  # no longer short; the spare capacity is unknown
             case api.DeliveredShare(_, server, share) if server in servers and share > 0:
-                # Guards against a short link or uplink of untold load: the share delivered implies the load.
-                short = max(servers[server].limits()[::2], key=lambda x: x.load or 0.0)
-                if past_us >= short.measured_us and (short.inferred or (short.load or 0.0) < 1 / share):
-                    short.load, short.measured_us, short.inferred = 1 / share, past_us, self.large_fleet
-                    self.step_down(short, 1.0 if self.large_fleet else SHORTFALL_LOAD)
+                # Guards against an overloaded link or uplink without a report: the share implies its load.
+                fullest = max(servers[server].limits()[::2], key=lambda x: x.load or 0.0)
+                if measured_us >= fullest.measured_us and (
+                    fullest.inferred or (fullest.load or 0.0) < 1 / share
+                ):
+                    fullest.load, fullest.measured_us, fullest.inferred = (
+                        1 / share,
+                        measured_us,
+                        self.large_fleet,
+                    )
+                    self.step_down(fullest, 1.0 if self.large_fleet else SHORTFALL_LOAD)
             case api.RungReported(number, _, rung):
                 if (session := self.sessions.get(number)) and session.server and session.rung != rung:
                     session.book_existing(self.now_us, session.server, rung)
@@ -82,13 +93,20 @@
         return self.actions
 
     def rendezvous_score(self, title: str, server: Server) -> float:
-        """The greatest takes a title's token.  Exception among many: each draws for itself, by links."""
-        name = f"{title}/{server.listing.server}" + f"/{self.settings.self_index}" * self.large_fleet
-        drawn = int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
-        return math.log((drawn + 0.5) / 2**64) / server.link.capacity if self.large_fleet else drawn
+        """Rendezvous hash of a title and a server: the server with the highest score gets the title's token.
+
+        Exception in a large fleet: each instance hashes by itself, and servers are weighted by their links.
+        """
+        key = f"{title}/{server.listing.server}" + f"/{self.settings.self_index}" * self.large_fleet
+        digest = int.from_bytes(hashlib.blake2b(key.encode(), digest_size=8).digest(), "big")
+        return math.log((digest + 0.5) / 2**64) / server.link.capacity if self.large_fleet else digest
 
     def least_loaded(self, title: str, servers: list[Server]) -> Server | None:
-        """The unheard count alike: among many instances each takes one of them by its own lot."""
+        """Returns the least-loaded server.
+
+        Servers without a report have equal loads: in a large fleet each instance picks one of them by its own
+        weighted hash.
+        """
         return (
             min(
                 servers,
@@ -102,66 +120,75 @@
         )
 
     def token_holder(self, session: Session, holders: list[Server]) -> Server | None:
-        """At first the one that a hash picks; among many the least-loaded with a connection, else heard."""
+        """Returns the title's token holder, None where there are no holders.
+
+        A title without a token starts at the server that a hash picks; in a large fleet at the least-loaded
+        one with a connection, or with a reported load where there is no connection.
+        """
         title = session.request.title
         number = self.tokens.pop(title, None)
         holder = next((s for s in holders if s.listing.server == number), None)
         if holder is None and holders:
-            known = [
+            candidates = [
                 s
                 for s in holders
                 if self.large_fleet
                 and (s.used or s.link.load is not None)
                 and self.admits(s, session, session.ceiling)
             ]
-            holder = self.least_loaded(title, [s for s in known if s.used] or known) or max(
+            holder = self.least_loaded(title, [s for s in candidates if s.used] or candidates) or max(
                 holders, key=lambda s: self.rendezvous_score(title, s)
             )
         if holder:
-            self.tokens[title] = holder.listing.server  # behind all others
+            self.tokens[title] = holder.listing.server  # the last entry: the first is dropped below
         if len(self.tokens) > MAX_TOKENS:
             del self.tokens[next(iter(self.tokens))]
         return holder
 
     def admits(self, server: Server, session: Session, rung: int) -> bool:
-        mark = self.admission_limit(session, rung)
-        return self.usable(server, session) and self.fits(server, session.rates[rung], mark)
+        """Whether a server is usable for a session and has the capacity for it at a rung."""
+        load_limit = self.admission_limit(session, rung)
+        return self.usable(server, session) and self.fits(server, session.rates[rung], load_limit)
 
     def pass_token(self, session: Session, holders: list[Server], rung: int) -> Server | None:
-        """The least-loaded holder that admits the session inherits the token."""
+        """Passes the title's token to the least-loaded holder that admits the session, and returns it."""
         title = session.request.title
         heirs = [s for s in holders if self.admits(s, session, rung)]
-        heard = [s for s in heirs if self.large_fleet and s.link.load is not None]
-        heir = self.least_loaded(title, heard or heirs)
+        reported = [s for s in heirs if self.large_fleet and s.link.load is not None]
+        heir = self.least_loaded(title, reported or heirs)
         if heir:
             self.tokens[title] = heir.listing.server
         return heir
 
     def choose_server(self, session: Session) -> tuple[Server, int] | None:
-        """The token's path.  A rung of -1 tells that the server has to be asked for its load first."""
+        """Returns the server and rung for a session by the token's path, None where no holder takes it.
+
+        A rung of -1 means that the server has to be probed for its load first.
+        """
         holders = self.fleet.holders(session.request)
         if (holder := self.token_holder(session, holders)) is None:
             return None
         for rung in range(session.ceiling, session.service_class.floor - 1, -1):
-            taker = holder if self.admits(holder, session, rung) else self.pass_token(session, holders, rung)
-            if taker and self.needs_probe(
-                session, taker, rung
-            ):  # passed eagerly where that spares the question
-                sure = [s for s in holders if not self.needs_probe(session, s, rung)]
-                if not self.large_fleet or (heir := self.pass_token(session, sure, rung)) is None:
-                    return taker, -1
-                taker = heir
-            if taker:
-                return self.free_capacity(session, taker, rung)
-        ranked = sorted(
+            admitting = (
+                holder if self.admits(holder, session, rung) else self.pass_token(session, holders, rung)
+            )
+            # The token is passed on early where that saves a probe.
+            if admitting and self.needs_probe(session, admitting, rung):
+                no_probe_needed = [s for s in holders if not self.needs_probe(session, s, rung)]
+                if not self.large_fleet or (heir := self.pass_token(session, no_probe_needed, rung)) is None:
+                    return admitting, -1
+                admitting = heir
+            if admitting:
+                return self.free_capacity(session, admitting, rung)
+        candidates = sorted(
             (s for s in holders if self.usable(s, session)),
             key=lambda s: (s is not holder, self.highest_load(s), s.listing.server),
         )
         floor = session.service_class.floor
-        if asked := next(
+        if probed := next(
             (
                 s
-                for s in ranked
+                for s in candidates
                 if self.needs_probe(session, s, floor)
                 and (
                     not self.large_fleet
@@ -175,16 +202,18 @@
             ),
             None,
         ):
-            return asked, -1  # what was heard of it leaves room
-        for server in ranked:
-            if self.fits(server, 0, math.inf):  # a place is left
+            return probed, -1  # by what is known of it, it has the capacity
+        for server in candidates:
+            if self.fits(server, 0, math.inf):  # a stream is free
                 if chosen := self.free_capacity(session, server, session.service_class.floor - 1):
                     self.tokens[session.request.title] = server.listing.server
                     return chosen
         return None
 
     def needs_probe(self, session: Session, server: Server, rung: int) -> bool:
-        """Exception: a server unheard lately is asked for its load first, never late in a request's time."""
+        """Exception: a server without a recent report is probed for its load first, except in the second half
+        of a request's time.
+        """
         early = 2 * (session.request.expires_us - self.now_us) > session.service_class.deadline_us
         if not (self.settings.may_probe and early and session.probes < MAX_PROBES) or self.is_fresh(
             server.link
@@ -195,6 +224,7 @@
         )
 
     def probe_ended(self, event: api.ProbeEnded) -> None:
+        """Takes in the answer to a probe and sends the sessions that waited for it."""
         if server := self.fleet.servers.get(event.server):
             self.update_load(server, event.report or api.LoadReport(), self.now_us - REPORT_AGE_US)
             if event.outcome is not api.Outcome.SERVED:
@@ -206,34 +236,55 @@
                 self.send_attempt(session)
 
     def session_requested(self, request: api.SessionRequested) -> None:
-        kind = self.classes[request.class_name]
-        top = max(kind.floor, min(request.ceiling, kind.top, len(self.settings.ladder_kb) - 1))
-        session = Session(request, kind, self.now_us, top, self.rates[kind.name], self.gains[kind.name])
+        """Begins a session, or books one that plays already."""
+        service_class = self.classes[request.class_name]
+        top = max(
+            service_class.floor, min(request.ceiling, service_class.top, len(self.settings.ladder_kb) - 1)
+        )
+        session = Session(
+            request,
+            service_class,
+            self.now_us,
+            top,
+            self.rates[service_class.name],
+            self.gains[service_class.name],
+        )
         self.sessions[request.session] = session
         if request.server is None:
             self.requests.add(self.now_us)
             return self.send_attempt(session)
         session.playing = session.first_note_seen = True
         if server := self.fleet.servers.get(request.server):
-            session.book_existing(self.now_us, server, kind.floor)
+            session.book_existing(self.now_us, server, service_class.floor)
 
     def send_attempt(self, session: Session) -> None:
-        request, kind, told = session.request, session.service_class, self.settings
-        left = request.expires_us - self.now_us
-        budget = told.budget_free + told.budget_ratio * self.requests.count(self.now_us, told.budget_span_us)
-        spent = (
-            session.attempts and told.budget_span_us and self.further_attempts.count(self.now_us) + 1 > budget
+        """Sends a session's next attempt, probes a server for it, or refuses it."""
+        request, service_class, settings = session.request, session.service_class, self.settings
+        time_left_us = request.expires_us - self.now_us
+        budget = settings.budget_free + settings.budget_ratio * self.requests.count(
+            self.now_us, settings.budget_span_us
+        )
+        budget_spent = (
+            session.attempts
+            and settings.budget_span_us
+            and self.further_attempts.count(self.now_us) + 1 > budget
+        )
+        seat_free = not service_class.seats or held_seats(self.sessions, session) < service_class.seats
+        title_faulty = not session.attempts and self.is_title_faulty(request.title)
+        may_send = (
+            session.attempts < settings.max_attempts
+            and time_left_us > 0
+            and not budget_spent
+            and seat_free
+            and not title_faulty
         )
-        seated = not kind.seats or held_seats(self.sessions, session) < kind.seats
-        odd = not session.attempts and self.is_title_faulty(request.title)
-        may_send = session.attempts < told.max_attempts and left > 0 and not spent and seated and not odd
         if (chosen := self.choose_server(session) if may_send else None) is None:
             return self.refuse(session, may_send)
         server, rung = chosen
         if rung < 0:
             session.probes += 1
             return self.request_probe(server).append(session)
-        if session.attempts and told.budget_span_us:
+        if session.attempts and settings.budget_span_us:
             self.further_attempts.add(self.now_us)
         session.attempts += 1
         server.used, server.trial_pending = True, server.failures > 0
@@ -241,15 +292,25 @@
         if self.warm_fraction(server) < 1:
             server.next_setup_us = self.now_us + int(1 / self.cold_set_up_rate(server))
         session.book(self.now_us, server, rung)
-        if rung <= request.ceiling and (rung != kind.floor or session.attempts > 1):  # else the floor
+        # Without an order it plays at the floor.
+        if rung <= request.ceiling and (rung != service_class.floor or session.attempts > 1):
             self.actions.append(api.SetRung(request.session, rung))
-        to_aim = session.arrived_us + kind.aim_us - self.now_us
-        if kind.effect is not api.Effect.ONCE and to_aim > 0 and session.attempts < told.max_attempts:
-            left = min(left, int(max(to_aim, kind.aim_us / 2) * ATTEMPT_TIME_SHARE))
-        self.actions.append(api.SetUp(request.session, server.listing.server, left))
+        to_aim_us = session.arrived_us + service_class.aim_us - self.now_us
+        if (
+            service_class.effect is not api.Effect.ONCE
+            and to_aim_us > 0
+            and session.attempts < settings.max_attempts
+        ):
+            time_left_us = min(
+                time_left_us, int(max(to_aim_us, service_class.aim_us / 2) * ATTEMPT_TIME_SHARE)
+            )
+        self.actions.append(api.SetUp(request.session, server.listing.server, time_left_us))
 
     def refuse(self, session: Session, for_capacity: bool) -> None:
-        """The final answer, at once: a refusal where it is allowed, else a failure."""
+        """Gives the final answer at once: a refusal where that is allowed, otherwise a failure.
+
+        With `for_capacity` it could be sent but no server took it, and own sessions may step down.
+        """
         effect = session.service_class.effect
         if for_capacity:
             self.free_capacity_for_others(session)
@@ -260,26 +321,29 @@
             and not (effect is api.Effect.BY_KEY and session.service_class.group is api.Group.ALL)
         ):
             return self.actions.append(api.Fail(session.request.session))
-        wait = int(RETRY_AFTER_US * self.random.uniform(0.8, 1.2))  # spread: viewers shan't return as one
-        wait = min(wait, self.settings.max_retry_after_us) if self.settings.retry_after else 0
-        self.actions.append(api.Refuse(session.request.session, wait))
+        # Jitter, so that refused viewers do not return together.
+        wait_us = int(RETRY_AFTER_US * self.random.uniform(0.8, 1.2))
+        wait_us = min(wait_us, self.settings.max_retry_after_us) if self.settings.retry_after else 0
+        self.actions.append(api.Refuse(session.request.session, wait_us))
 
     def remove_session(self, session: Session) -> None:
+        """Drops a session with its bookings."""
         session.unbook(self.now_us)
         self.sessions.pop(session.request.session, None)
 
     def attempt_ended(self, event: api.AttemptEnded) -> None:
+        """Takes in the end of an attempt or session; a request that is still open gets its next attempt."""
         session, server = self.sessions.get(event.session), self.fleet.servers.get(event.server)
         if server:
             self.update_load(server, event.report or api.LoadReport(), self.now_us - REPORT_AGE_US)
         if session is None:
             return
-        sent_to, session.playing = session.server, False
+        attempted_server, session.playing = session.server, False
         if server:
             self.record_outcome(server, event.outcome, event.concluded, session.request.title)
         self.remove_session(session)
         if not event.concluded:
             self.sessions[event.session] = session
-            if not event.outcome.never_ran:  # kept even where the server has left the list since
-                session.may_have_run_at, session.may_have_run_us = sent_to, self.now_us
+            if not event.outcome.never_ran:  # kept even where the server has left the list
+                session.may_have_run_at, session.may_have_run_us = attempted_server, self.now_us
             self.send_attempt(session)
--- a/cloverhinge/decision/rungs.py
+++ b/cloverhinge/decision/rungs.py
@@ -1,4 +1,4 @@
-"""At which rung do sessions play?  Steps down and up, and room for newcomers."""
+"""Which rung each session plays at: steps down under load, steps up, and capacity freed for new sessions."""
 
 from __future__ import annotations
 
@@ -9,26 +9,29 @@
 from cloverhinge.decision.loads import MAX_FRESH_LOAD_AGE_US, STALE_LOAD_AGE_US
 from cloverhinge.decision.state import Limit, Server, Session
 
-ADMIT_LOAD = 0.90  # load up to which sessions are admitted; the rest is room for the spread of true rates
-LOW_GAIN_RESERVE = 0.2  # load left free by steps that earn nothing, in proportion by others
-LARGE_FLEET_TARGET_LOAD = (
-    0.85  # load that a step down aims at among many instances, where newcomers need the room
-)
-STEP_DOWN_TARGET_LOAD = 0.98  # load that other steps down aim at, and up to which no session falls short
-SHORTFALL_LOAD = (
-    1.08  # load told from which own sessions step down; under it notes are too noisy to pay for a change
-)
-RAISE_LOAD = 0.80  # load up to which playing sessions are raised; under MARK, so that newcomers find room
-MIN_RUNG_DWELL_US = 6_000_000  # a session is raised so long after its last change of rung at the earliest
+# Loads are fractions of a limit's capacity.
+ADMIT_LOAD = 0.90  # sessions are admitted up to this load; the rest absorbs the spread of actual rates
+LOW_GAIN_RESERVE = 0.2  # load left free by steps that earn nothing; others leave a proportional part of it
+LARGE_FLEET_TARGET_LOAD = 0.85  # target of a step down in a large fleet, where new sessions need the capacity
+STEP_DOWN_TARGET_LOAD = 0.98  # target of other steps down; up to this load no session falls short
+SHORTFALL_LOAD = 1.08  # reported load that makes own sessions step down; below, notes are too noisy to pay
+RAISE_LOAD = 0.80  # playing sessions are raised up to this load; below ADMIT_LOAD, to leave new ones capacity
+MIN_RUNG_DWELL_US = 6_000_000  # shortest time between a session's last change of rung and a raise
 NOTE_WEIGHT = 0.5  # weight of a load note against the own forecast, as notes are noisy
-LOAD_JUMP = 0.4  # a note so far off the forecast is believed in full: a link was lost or freed
-SWITCH_PAYBACK_S = 8.0  # seconds over which a change of rung must earn its price
-MIN_GAIN_RATIO = 1.8  # a newcomer's step must be worth so much more than the steps taken for it
+LOAD_JUMP = 0.4  # a note this far off the forecast is taken in full: a link was lost or freed
+SWITCH_PAYBACK_S = 8.0  # seconds within which a change of rung must earn its cost
+MIN_GAIN_RATIO = 1.8  # least gain of a new session's step, relative to that of the steps down made for it
 
 
 class RungControl(ServerHealth):
+    """Steps sessions down and up along the ladder."""
+
     def admission_limit(self, session: Session, rung: int) -> float:
-        """Exception to highest-first: steps that earn less for each kB are admitted up to a lower mark."""
+        """Returns the load up to which a session is admitted at a rung.
+
+        Exception to the rule of the highest rung first: steps that earn less for each kB are admitted only up
+        to a lower load.
+        """
         earned = (
             session.gains[rung]
             if rung > session.service_class.floor
@@ -39,70 +42,82 @@
         )
 
     def update_load(
-        self, server: Server, report: api.LoadReport, described_us: int, act: bool = False
+        self, server: Server, report: api.LoadReport, measured_us: int, is_note: bool = False
     ) -> None:
-        """Takes over a load.  Steps down on notes, which all hear; any load tells the own share of room."""
+        """Takes over the loads of a report that describes the moment `measured_us`.
+
+        A note (`is_note`) reaches all instances and makes own sessions step down where the load is too high.
+        Any load sets this instance's share of the spare capacity.
+        """
         streams = None if report.streams is None else report.streams / server.places.capacity
         for limit, load in zip(server.limits(), (report.link, streams, report.uplink), strict=True):
-            if load is None or (limit.load is not None and described_us < limit.measured_us):
+            if load is None or (limit.load is not None and measured_us < limit.measured_us):
                 continue
             if limit.load is not None and self.now_us - limit.measured_us < STALE_LOAD_AGE_US:
-                forecast = limit.load + limit.growth(described_us)
+                forecast = limit.load + limit.growth(measured_us)
                 load = forecast + min(max(NOTE_WEIGHT, abs(load - forecast) / LOAD_JUMP), 1.0) * (
                     load - forecast
                 )
-            limit.load, limit.measured_us, limit.inferred = load, described_us, False
+            limit.load, limit.measured_us, limit.inferred = load, measured_us, False
             if limit is not server.places:
-                if act:
+                if is_note:
                     self.step_down(limit)
-                elif self.large_fleet:  # each asks by itself, and takes its own share then
+                elif self.large_fleet:  # each instance probes by itself and then frees its own share
                     self.step_down(
                         limit,
                         ADMIT_LOAD,
                         LARGE_FLEET_TARGET_LOAD,
                         min(self.best_gains.values()) / MIN_GAIN_RATIO,
                     )
-                room = RAISE_LOAD / max(load, limit.booked / limit.capacity, 1e-9) - 1
-                limit.raise_budget_kb = limit.booked * max(
-                    0.0, room
-                )  # the own share of it, until the next report
+                spare = RAISE_LOAD / max(load, limit.booked / limit.capacity, 1e-9) - 1
+                # The own share of the spare capacity, until the next report.
+                limit.raise_budget_kb = limit.booked * max(0.0, spare)
 
     def next_step_down(
-        self, number: int, x: Session, planned: dict[int, int]
+        self, number: int, session: Session, planned: dict[int, int]
     ) -> tuple[float, int, int, float]:
-        """A session's next step down: its cost for each kB, whose it is, the rung, the kB that it frees."""
-        rung = planned.get(number, x.rung)
-        kb = max(x.rates[rung] - x.rates[rung - 1], 1e-9)
-        change = 0 if number in planned else self.settings.switch_s * x.service_class.worth / SWITCH_PAYBACK_S
-        return x.gains[rung] + change / kb, number, rung - 1, kb
+        """Returns a session's next step down: cost for each kB, session number, new rung, rate freed."""
+        rung = planned.get(number, session.rung)
+        freed_kb = max(session.rates[rung] - session.rates[rung - 1], 1e-9)
+        switch_cost = (
+            0
+            if number in planned
+            else self.settings.switch_s * session.service_class.worth / SWITCH_PAYBACK_S
+        )
+        return session.gains[rung] + switch_cost / freed_kb, number, rung - 1, freed_kb
 
     def plan_steps_down(
         self, over: dict[Limit, float], planned: dict[int, int], max_cost: float, randomize_last: bool
     ) -> bool:
-        """Adds the cheapest steps down, false where none costs under `most`; `odd`: the last by chance."""
+        """Adds the cheapest steps down to `planned` until no limit exceeds its target.
+
+        `over` holds the excess of each limit in kB a second and is updated.  With `randomize_last` the last
+        step, which frees more than is needed, is taken only with the probability of the part that is needed.
+        Returns False where the excess remains because no step is left that costs `max_cost` or less.
+        """
         heaps: dict[Limit, list[tuple[float, int, int, float]]] = {}
         while (excess := max(over.values())) > 0:
-            tight = next(limit for limit in over if over[limit] == excess)
-            if (heap := heaps.get(tight)) is None:
-                heap = heaps[tight] = [
-                    self.next_step_down(n, x, planned)
-                    for n, x in tight.sessions.items()
-                    if x.playing and planned.get(n, x.rung) > x.service_class.floor
+            tightest = next(limit for limit in over if over[limit] == excess)
+            if (heap := heaps.get(tightest)) is None:
+                heap = heaps[tightest] = [
+                    self.next_step_down(n, session, planned)
+                    for n, session in tightest.sessions.items()
+                    if session.playing and planned.get(n, session.rung) > session.service_class.floor
                 ]
                 heapq.heapify(heap)
             while heap and heap[0][2] != planned.get(heap[0][1], self.sessions[heap[0][1]].rung) - 1:
-                heapq.heappop(heap)  # of a step that has been taken
+                heapq.heappop(heap)  # obsolete: that step is planned already
             if not heap or heap[0][0] > max_cost:
                 return False
             _, number, rung, kb = heap[0]
             if randomize_last and self.random.random() * kb > excess:
                 break
-            planned[number], x = rung, self.sessions[number]
+            planned[number], session = rung, self.sessions[number]
             for limit in over:
                 if number in limit.sessions:
                     over[limit] -= kb
-                    if limit in heaps and rung > x.service_class.floor:
-                        heapq.heappush(heaps[limit], self.next_step_down(number, x, planned))
+                    if limit in heaps and rung > session.service_class.floor:
+                        heapq.heappush(heaps[limit], self.next_step_down(number, session, planned))
         return True
 
     def step_down(
@@ -112,20 +127,25 @@
         target: float = STEP_DOWN_TARGET_LOAD,
         max_cost: float = 1e99,
     ) -> None:
-        """Each instance steps down its own share, part of a step by its chance: all hear a note at once."""
+        """Steps sessions down at a limit whose load is `threshold` or more, towards the load `target`.
+
+        All instances receive a note at the same time, so each frees its own share only, and takes part of a
+        step with the corresponding probability.
+        """
         load, planned = (limit.load or 0.0) + limit.growth(), dict[int, int]()
         if load < threshold or limit.measured_us < limit.last_step_us:
             return
-        cheap = self.plan_steps_down(
+        complete = self.plan_steps_down(
             {limit: limit.booked * (1 - target / load)}, planned, max_cost, randomize_last=True
         )
-        if cheap or planned or not self.large_fleet:
-            limit.last_step_us = self.now_us  # else none was cheap enough, and another may try
+        if complete or planned or not self.large_fleet:
+            limit.last_step_us = self.now_us  # otherwise no step was cheap enough, and another call may try
         self.set_rungs(planned)
         if planned:
             self.log("stepping down", f"load {load:.2f}, {len(planned)} sessions")
 
     def set_rungs(self, planned: dict[int, int]) -> None:
+        """Books the planned rungs by session number and orders them from the servers."""
         for number, rung in planned.items():
             session = self.sessions[number]
             if session.server:
@@ -134,8 +154,12 @@
                 self.actions.append(api.SetRung(number, rung))
 
     def raise_rungs(self) -> None:
-        """Dearest step first, with the chance that the own share of the room bears to it: against swings."""
-        able = [
+        """Raises playing sessions where capacity is spare, the step with the highest gain first.
+
+        A step is taken with the ratio of this instance's share of the spare capacity to the step's rate as
+        its probability, so that the instances together do not oscillate.
+        """
+        candidates = [
             (-x.gains[x.rung + 1], number, x.server)
             for number, x in self.sessions.items()
             if x.playing
@@ -143,56 +167,68 @@
             and x.rung < x.ceiling
             and self.now_us - x.rung_changed_us >= MIN_RUNG_DWELL_US
         ]
-        for limit in {x for _, _, y in able for x in y.limits()[::2]} if self.large_fleet else ():
+        for limit in {x for _, _, y in candidates for x in y.limits()[::2]} if self.large_fleet else ():
             mean, _, spread = self.load_statistics(limit.same_kind)
             if (
                 mean
                 and not self.is_fresh(limit)
                 and self.now_us - limit.raise_forecast_us > MAX_FRESH_LOAD_AGE_US
             ):
-                limit.raise_forecast_us = self.now_us  # as all may: a share of the room that is likely there
+                # All instances may do so: each takes a share of the capacity that is probably spare.
+                limit.raise_forecast_us = self.now_us
                 limit.raise_budget_kb = limit.booked * max(0.0, RAISE_LOAD / (mean + spread) - 1)
-        for _, number, server in sorted(able, key=lambda x: x[:2]):
-            session, room = (
+        for _, number, server in sorted(candidates, key=lambda x: x[:2]):
+            session, spare_kb = (
                 self.sessions[number],
                 min(server.link.raise_budget_kb, server.uplink.raise_budget_kb),
             )
             for rung in range(session.ceiling, session.rung, -1):
-                kb = session.rates[rung] - session.rate_kb
-                if room > 0 and self.fits(server, kb, RAISE_LOAD, 0, 1.0 if self.large_fleet else 0):
-                    if self.random.random() * kb < room:
+                extra_kb = session.rates[rung] - session.rate_kb
+                if spare_kb > 0 and self.fits(
+                    server, extra_kb, RAISE_LOAD, 0, 1.0 if self.large_fleet else 0
+                ):
+                    if self.random.random() * extra_kb < spare_kb:
                         self.set_rungs({number: rung})
-                    server.link.raise_budget_kb -= kb
-                    server.uplink.raise_budget_kb -= kb
+                    server.link.raise_budget_kb -= extra_kb
+                    server.uplink.raise_budget_kb -= extra_kb
                     break
 
     def free_capacity(self, session: Session, server: Server, rung: int) -> tuple[Server, int] | None:
-        """Exception, where it is full: a newcomer's step up may earn more than others' steps down lose."""
+        """Returns the server with the rung for a new session, None where not even its floor fits.
+
+        `rung` is what fits without a change, the floor - 1 where nothing does.  Exception where the server is
+        full: playing sessions step down where the new session's step up earns more than they lose.
+        """
         link, uplink, planned = server.link, server.uplink, dict[int, int]()
         over = {
             link: (self.load_of(link) - ADMIT_LOAD) * link.capacity * self.warm_fraction(server),
             uplink: (self.load_of(uplink) - ADMIT_LOAD) * uplink.capacity,
         }
-        peers_part = 1 - link.booked / link.capacity / max(self.load_of(link), 1e-9)
+        peers_share = 1 - link.booked / link.capacity / max(self.load_of(link), 1e-9)
         top = (
             rung
-            if rung >= session.service_class.floor and self.random.random() < peers_part
+            if rung >= session.service_class.floor and self.random.random() < peers_share
             else session.ceiling
         )
-        while rung < top:  # a higher rung only by the own part: the room is else for peers to make
-            kb, trial = session.rates[rung + 1], dict(planned)
-            left = {limit: kb + excess for limit, excess in over.items()}
-            if not self.plan_steps_down(left, trial, session.gains[rung + 1] / MIN_GAIN_RATIO, False):
+        # A higher rung only with the probability of the own share of the load: else peers free capacity.
+        while rung < top:
+            extra_kb, trial = session.rates[rung + 1], dict(planned)
+            trial_over = {limit: extra_kb + excess for limit, excess in over.items()}
+            if not self.plan_steps_down(trial_over, trial, session.gains[rung + 1] / MIN_GAIN_RATIO, False):
                 break
-            over = {limit: excess - kb for limit, excess in left.items()}
+            over = {limit: excess - extra_kb for limit, excess in trial_over.items()}
             planned, rung = trial, rung + 1
         self.set_rungs(planned)
         return (server, rung) if rung >= session.service_class.floor else None
 
     def free_capacity_for_others(self, session: Session) -> None:
-        """Exception: a newcomer found no room, so own sessions on full servers step down, as peers' do."""
-        able = any(self.usable(s, session) for s in self.fleet.holders(session.request))
-        if self.random.random() < 1 - 1 / self.settings.fleet_size and able:
+        """Steps own sessions down on loaded servers after a new session found no capacity.
+
+        Exception to the token's path, as peers do it too: in a large fleet the sessions
+        that could free the capacity are mostly those of other instances.
+        """
+        has_usable_holder = any(self.usable(s, session) for s in self.fleet.holders(session.request))
+        if self.random.random() < 1 - 1 / self.settings.fleet_size and has_usable_holder:
             for limit in {x: 0 for y in self.sessions.values() if y.server for x in y.server.limits()[::2]}:
                 self.step_down(
                     limit,
--- a/cloverhinge/decision/state.py
+++ b/cloverhinge/decision/state.py
@@ -1,4 +1,4 @@
-"""What an instance remembers: limits with their bookings, servers and sessions.  No decision is made here."""
+"""The state of an instance: limits with their bookings, servers and sessions.  No decision is made here."""
 
 from __future__ import annotations
 
@@ -16,44 +16,50 @@
     Settings,
 )
 
-BOOKING_HISTORY_US = (
-    10_000_000  # bookings are remembered one by one for so long; loads older than that go unheard
-)
-UNKNOWN_CAPACITY = 1e12  # stands for a limit that the settings do not tell
+BOOKING_HISTORY_US = 10_000_000  # bookings are kept one by one for so long; older loads are not used
+UNKNOWN_CAPACITY = 1e12  # of a limit that the settings do not state
 
 
 @dataclass(slots=True, eq=False)
 class Limit:
-    """A link, a rack uplink or a server's places: what it gives, what was told of it, what is booked here."""
+    """A link, a rack uplink or a server's places: its capacity, reported load, and what is booked here.
+
+    Amounts are kB a second for links and uplinks, and streams for places.
+    """
 
     capacity: float
-    same_kind: list[Limit]  # the limits of its kind in the fleet
-    load: float | None = None  # last told, asked over given
+    same_kind: list[Limit]  # all limits of its kind in the fleet
+    load: float | None = None  # last reported or inferred, demand over capacity
     measured_us: int = 0  # the moment that `load` describes
     inferred: bool = False  # `load` follows from sessions that fell short, not from a report
-    last_step_us: int = 0  # the last step down or up made here
+    last_step_us: int = 0  # when sessions last stepped down here
     booked: float = 0.0
-    preexisting: float = 0.0  # of it, what counts as booked at any time: told later than a load that held it
-    adopted: float = 0.0  # and from `met_us` on: handed over while no load had been told
+    preexisting: float = 0.0  # part of `booked` that counts at any time: the load reported before included it
+    adopted: float = 0.0  # part of `booked` that counts from `adopted_us` on: taken over before any report
     adopted_us: int = 1 << 62
-    raise_forecast_us: int = 0  # the last time that `raise_kb` came from a forecast
+    raise_forecast_us: int = 0  # the last time that `raise_budget_kb` came from a forecast
     raise_budget_kb: float = 0.0  # what own sessions may still be raised by until the next report
-    history: deque[tuple[int, float]] = field(default_factory=deque)  # (moment, the rest booked from then on)
+    # Pairs of a moment and the rest of `booked` from then on.
+    history: deque[tuple[int, float]] = field(default_factory=deque)
     sessions: dict[int, Session] = field(default_factory=dict)
 
     def book(self, now_us: int, amount: float) -> None:
+        """Books an amount, negative to release it, and keeps the history that `measured_us` still needs."""
         self.booked += amount
         if self.history and self.history[-1][0] == now_us:
             self.history.pop()
         self.history.append((now_us, self.booked - self.preexisting - self.adopted))
-        oldest_us = max(self.measured_us, now_us - BOOKING_HISTORY_US)  # loads may never be told
+        oldest_us = max(self.measured_us, now_us - BOOKING_HISTORY_US)  # a load may never be reported
         while len(self.history) > 1 and self.history[1][0] <= oldest_us:
             self.history.popleft()
 
     def book_existing(self, now_us: int, amount: float) -> None:
-        """Book what has been there all along: a load told before it was booked holds it already, and one that
-        is told later and describes a moment since the first of them came.  The history is not walked, as
-        hundreds come together."""
+        """Books what has been there before this instance knew of it.
+
+        A load reported before the booking includes it already, and so does one that is reported later and
+        describes a moment after the first such booking.  The history is not changed, as hundreds may come
+        together.
+        """
         self.booked += amount
         if self.load is None:
             self.adopted_us = min(self.adopted_us, now_us)
@@ -62,7 +68,7 @@
             self.preexisting += amount
 
     def booked_at(self, moment_us: int) -> float:
-        """Own bookings as they stood at a moment."""
+        """Returns what was booked here at a moment."""
         amount = 0.0
         for since_us, booked in self.history:
             if since_us > moment_us:
@@ -71,44 +77,52 @@
         return amount + self.preexisting + (self.adopted if moment_us >= self.adopted_us else 0.0)
 
     def growth(self, moment_us: int | None = None) -> float:
-        """Own bookings made, less those ended, since the moment that `load` describes, as a load."""
+        """Returns own bookings made less those ended since the moment that `load` describes, as a load; up to
+        now, or up to a moment.
+        """
         until = self.booked if moment_us is None else self.booked_at(moment_us)
         return (until - self.booked_at(self.measured_us)) / self.capacity
 
 
 @dataclass(slots=True, eq=False)
 class Server:
+    """A media server as listed, its limits and what failures taught of it."""
+
     listing: ServerListing
     link: Limit
     places: Limit
     uplink: Limit
-    cold_since_us: int | None = None  # when it started, as told or supposed
-    next_setup_us: int = 0  # own pace while it is cold
-    last_considered_us: int = 0  # when a session last looked at it while it was cold, or it was heard of
-    failures: int = 0  # failures not yet made good
+    cold_since_us: int | None = None  # when it started, as listed or as inferred from a failure
+    next_setup_us: int = 0  # the earliest next set-up from here while it is cold
+    last_considered_us: int = 0  # while it is cold: when a session last considered it, or it was listed
+    failures: int = 0  # failures not yet made good by successes
     suspect_until_us: int = 0
-    failed_titles: set[str] = field(default_factory=set)  # titles that erred here since it served one
-    trial_pending: bool = False  # an attempt of this instance is out on trial
-    used: bool = False  # a set-up was sent to it, so that a connection is paid for
+    failed_titles: set[str] = field(default_factory=set)  # titles that failed here since it last served one
+    trial_pending: bool = False  # an attempt that tests it after a failure is out
+    used: bool = False  # a set-up was sent to it, so a connection is open already
 
     @property
     def ready(self) -> bool:
+        """Whether the list allows new sessions there."""
         return self.listing.health is Health.READY
 
     def time_since_considered(self, now_us: int) -> int:
-        """The time since the last look at it while it is cold, or since it was heard of or started, in us."""
+        """Returns the microseconds since a session last considered it, it was listed or it started, whichever
+        is latest, and restarts the count.
+        """
         since_us, self.last_considered_us = max(self.last_considered_us, self.cold_since_us or 0), now_us
         return now_us - since_us
 
     def in_cold_pause(self, now_us: int) -> bool:
-        """It is not this instance's turn again while the server is cold."""
+        """Whether it is too early for this instance's next set-up while the server is cold."""
         return now_us < self.next_setup_us
 
     def limits(self) -> tuple[Limit, Limit, Limit]:
+        """Returns link, places and rack uplink."""
         return self.link, self.places, self.uplink
 
     def reset(self, now_us: int) -> None:
-        """It begins a new life: nothing is held against it, and it carries what is booked here."""
+        """Forgets its failures and reported loads after maintenance; its load is now what is booked here."""
         self.failures, self.suspect_until_us, self.trial_pending, self.next_setup_us = 0, 0, False, 0
         self.failed_titles.clear()
         for limit in (self.link, self.places):
@@ -117,27 +131,29 @@
 
 @dataclass(slots=True, eq=False)
 class Session:
+    """A session from its request to its end, with its booking and its attempts."""
+
     request: SessionRequested
     service_class: ServiceClass
     arrived_us: int
     ceiling: int
-    rates: list[float]  # kB a second of each rung, as its class uses it
+    rates: list[float]  # kB a second at each rung for its class
     gains: list[float]  # worth of the step up to each rung for each kB of it
     rung: int = 0
-    rate_kb: float = 0.0  # rate that is booked for it
+    rate_kb: float = 0.0  # the rate that is booked for it, kB a second
     server: Server | None = None  # where it plays or is being set up
     attempts: int = 0
-    probes: int = 0  # servers asked for it
+    probes: int = 0  # probes sent for it
     playing: bool = False
     rung_changed_us: int = 0  # last change of rung while it plays
-    first_note_seen: bool = False  # its first load note, told at set-up, has been seen
+    first_note_seen: bool = False  # the load note sent at set-up has been received
     may_have_run_at: Server | None = None  # the server where an earlier attempt may have run
     may_have_run_us: int = 0
     tried: list[Server] = field(default_factory=list)
-    cold_draws: dict[int, bool] = field(default_factory=dict)  # draws made for it at cold servers
+    cold_draws: dict[int, bool] = field(default_factory=dict)  # draws made for it, by cold server
 
     def book(self, now_us: int, server: Server, rung: int) -> None:
-        """Book its rate and its place on a server, in place of what was booked for it."""
+        """Books its rate and a place on a server, in place of what was booked for it."""
         self.unbook(now_us)
         self.server, self.rung, self.rate_kb = server, rung, self.rates[rung]
         for limit, amount in zip(server.limits(), (self.rate_kb, 1.0, self.rate_kb), strict=True):
@@ -145,9 +161,9 @@
             limit.sessions[self.request.session] = self
 
     def book_existing(self, now_us: int, server: Server, rung: int) -> None:
-        """It plays there since before this instance knew of it, at a rung that is told now.
+        """Books a session that played there before this instance knew of it, at the rung now reported.
 
-        Guards against counting handed-over sessions twice: in the load that was told, and as growth since.
+        Guards against counting handed-over sessions twice: in the reported load, and as growth since.
         """
         kb, place = self.rates[rung] - self.rate_kb, 0.0 if self.server else 1.0
         self.server, self.rung, self.rate_kb = server, rung, self.rates[rung]
@@ -156,6 +172,7 @@
             limit.sessions[self.request.session] = self
 
     def unbook(self, now_us: int) -> None:
+        """Releases what is booked for it, if anything."""
         if self.server:
             for limit, amount in zip(self.server.limits(), (self.rate_kb, 1.0, self.rate_kb), strict=True):
                 limit.book(now_us, -amount)
@@ -164,15 +181,15 @@
 
 
 class Sessions(dict[int, Session]):
-    """By number; beside them, how many of a class and title another instance in this one's place holds."""
+    """Own sessions by number, and the seats of a class and title that other processes of this router hold."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.seats_taken_elsewhere: dict[str, dict[str, int]] = {}
+        self.seats_taken_elsewhere: dict[str, dict[str, int]] = {}  # by class and title
 
 
 def held_seats(sessions: Sessions, session: Session) -> int:
-    """Own sessions of a title and class, set-ups included, and those held elsewhere in this one's place."""
+    """Returns the seats taken of a session's title and class by all processes of a router, with set-ups."""
     own = sum(
         1
         for x in sessions.values()
@@ -186,20 +203,18 @@
 
 
 class SlidingCounter:
-    """Counts moments within a span that slides."""
+    """Counts events within a sliding span of time."""
 
     def __init__(self, span_us: int) -> None:
-        self.span_us, self.times_us, self.first_index = (
-            span_us,
-            list[int](),
-            0,
-        )  # those before `first` have passed
+        # Times before `first_index` have left the span.
+        self.span_us, self.times_us, self.first_index = span_us, list[int](), 0
 
     def add(self, now_us: int) -> None:
+        """Adds an event; times never decrease."""
         self.times_us.append(now_us)
 
     def count(self, now_us: int, span_us: int | None = None) -> int:
-        """Moments within the span, or within a shorter one."""
+        """Returns the number of events within the span, or within a shorter one."""
         self.first_index = bisect_right(self.times_us, now_us - self.span_us, self.first_index)
         if 2 * self.first_index > len(self.times_us):
             del self.times_us[: self.first_index]
@@ -208,12 +223,15 @@
         return len(self.times_us) - bisect_right(self.times_us, now_us - span_us, self.first_index)
 
     def peak_rate(self, now_us: int, since_us: int, spans_us: tuple[int, ...]) -> float:
-        """So many a second, over the span in which they were most; counted from `since_us` on."""
+        """Returns the highest of the rates over several spans, in events a second.
+
+        A span that reaches back beyond `since_us` is cut there.
+        """
         return max(self.count(now_us, span) * 1e6 / min(span, now_us - since_us) for span in spans_us)
 
 
 class Fleet:
-    """The servers and racks as the list names them."""
+    """The servers and racks as listed."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -225,20 +243,20 @@
         self.by_cell: dict[int, list[Server]] = {}
 
     def apply_update(self, now_us: int, update: FleetUpdate) -> None:
-        """Take over a list or a change of it; a server that it drops keeps the bookings of its sessions."""
+        """Applies a list or a change of it; a server that is dropped keeps the bookings of its sessions."""
         if update.kind in (ListKind.FULL, ListKind.CACHED):
-            named = {listing.server for listing in update.listings}
-            self.servers = {n: server for n, server in self.servers.items() if n in named}
+            listed = {listing.server for listing in update.listings}
+            self.servers = {n: server for n, server in self.servers.items() if n in listed}
         for listing in update.listings:
             if listing.health is Health.GONE:
                 self.servers.pop(listing.server, None)
                 continue
-            held = self.servers.get(listing.server) or self.add_server(now_us, listing)
-            if listing.started_us > (held.cold_since_us or 0):
-                held.cold_since_us, held.last_considered_us = listing.started_us, now_us
+            known_server = self.servers.get(listing.server) or self.add_server(now_us, listing)
+            if listing.started_us > (known_server.cold_since_us or 0):
+                known_server.cold_since_us, known_server.last_considered_us = listing.started_us, now_us
             if listing.after_maintenance:
-                held.reset(now_us)
-            held.listing = listing
+                known_server.reset(now_us)
+            known_server.listing = listing
         self.links[:] = [server.link for server in self.servers.values()]
         self.places[:] = [server.places for server in self.servers.values()]
         self.uplinks[:] = self.racks.values()
@@ -247,17 +265,18 @@
             self.by_cell.setdefault(server.listing.cell % self.settings.cells, []).append(server)
 
     def add_server(self, now_us: int, listing: ServerListing) -> Server:
-        told = self.settings
+        """Adds a listed server with limits from the settings; its rack's uplink is shared."""
+        settings = self.settings
         rack = self.racks.setdefault(
-            listing.cell % told.racks, Limit(told.uplink_kb or UNKNOWN_CAPACITY, self.uplinks)
+            listing.cell % settings.racks, Limit(settings.uplink_kb or UNKNOWN_CAPACITY, self.uplinks)
         )
-        link = Limit((listing.weight if listing.weight > 0 else 1.0) * told.weight_kb, self.links)
-        places = Limit(float(told.places_by_kind.get(listing.kind, UNKNOWN_CAPACITY)), self.places)
+        link = Limit((listing.weight if listing.weight > 0 else 1.0) * settings.weight_kb, self.links)
+        places = Limit(float(settings.places_by_kind.get(listing.kind, UNKNOWN_CAPACITY)), self.places)
         self.servers[listing.server] = Server(listing, link, places, rack, last_considered_us=now_us)
         return self.servers[listing.server]
 
     def holders(self, request: SessionRequested) -> list[Server]:
-        """The servers of the title's own cells; looks at no others."""
+        """Returns the servers of the cells that hold the title; the work does not grow with the fleet."""
         cells = self.settings.cells
         return [
             server
--- a/cloverhinge/decision/upgrade_overlap.py
+++ b/cloverhinge/decision/upgrade_overlap.py
@@ -1,6 +1,7 @@
-"""What two instances that stand in one router's place tell each other while both run, and how they share it.
+"""State that the instances of one router exchange during an upgrade overlap, while two processes run.
 
-Nothing is decided here: the one takes over what the other has heard, and each counts as one of twice as many.
+Nothing is decided here: an instance imports what the other has learned, and the fleet size that it reckons
+with is multiplied by the number of instances.
 """
 
 from __future__ import annotations
@@ -13,11 +14,14 @@
 from cloverhinge.decision import interface as api
 from cloverhinge.decision.logic import Controller
 
-MAX_EXPORTED_TOKENS = 1024  # titles whose token is told, the latest asked for
+MAX_EXPORTED_TOKENS = 1024  # most titles whose token is exported, the latest requested
 
 
 class LearnedServer(msgspec.Struct, frozen=True, array_like=True):
-    """Of one server: loads with the moment that each describes (0: none), how it failed, when it started."""
+    """What was learned of one server: its loads, its failures and its last start.
+
+    Each load comes with the moment that it describes, in microseconds (0 = no load).
+    """
 
     link: tuple[float, int]
     places: tuple[float, int]
@@ -28,21 +32,25 @@
 
 
 class LearnedState(msgspec.Struct, frozen=True):
+    """What an instance has learned, as it is exported to another one."""
+
     servers: dict[int, LearnedServer] = {}
-    tokens: dict[str, int] = {}  # title to the server that takes its sessions, the latest last
-    seats: dict[str, dict[str, int]] = {}  # taken, by class and title, of classes that have seats
+    tokens: dict[str, int] = {}  # server by title, the latest requested last
+    seats: dict[str, dict[str, int]] = {}  # seats taken by class and title, of classes that have seats
 
 
 def export_learned(controller: Controller) -> LearnedState:
-    """What an instance has learned that another one could not know so soon.  Loads that it inferred from what
-    its own sessions fell short by are left out: they say nothing of now."""
-    told = {}
+    """Returns what an instance has learned that another one could not learn as soon.
+
+    Loads inferred from own sessions that fell short are left out, as they do not describe the present.
+    """
+    servers = {}
     for number, server in controller.fleet.servers.items():
         link, places, uplink = (
             (x.load, x.measured_us) if x.load is not None and not x.inferred else (0.0, 0)
             for x in server.limits()
         )
-        told[number] = LearnedServer(
+        servers[number] = LearnedServer(
             link, places, uplink, server.failures, server.suspect_until_us, server.cold_since_us or 0
         )
     latest = list(controller.tokens.items())[-MAX_EXPORTED_TOKENS:]
@@ -51,26 +59,27 @@
         if session.service_class.seats and (session.server or session.playing):
             titles = seats.setdefault(session.service_class.name, {})
             titles[session.request.title] = titles.get(session.request.title, 0) + 1
-    return LearnedState(told, dict(latest), seats)
+    return LearnedState(servers, dict(latest), seats)
 
 
 def import_learned(controller: Controller, now_us: int, other: LearnedState) -> None:
-    """What the other knows better: later loads and failures, and tokens of titles not asked for here yet.
-    Of a server that is not listed here nothing is taken."""
-    for number, heard in other.servers.items():
+    """Imports what the other instance knows better: later loads and failures, and tokens of titles that were
+    not requested here yet.  Servers that are not listed here are ignored.
+    """
+    for number, learned in other.servers.items():
         server = controller.fleet.servers.get(number)
         if server is None:
             continue
-        for limit, (load, described_us) in zip(
-            server.limits(), (heard.link, heard.places, heard.uplink), strict=True
+        for limit, (load, measured_us) in zip(
+            server.limits(), (learned.link, learned.places, learned.uplink), strict=True
         ):
-            if limit.measured_us < described_us <= now_us and 0 <= load < 1e3:
-                limit.load, limit.measured_us, limit.inferred = load, described_us, False
-        if heard.suspect_until_us > server.suspect_until_us:
-            server.suspect_until_us = heard.suspect_until_us
-            server.failures = max(server.failures, heard.failures)
-        if (server.cold_since_us or 0) < heard.cold_since_us <= now_us:
-            server.cold_since_us = heard.cold_since_us
+            if limit.measured_us < measured_us <= now_us and 0 <= load < 1e3:
+                limit.load, limit.measured_us, limit.inferred = load, measured_us, False
+        if learned.suspect_until_us > server.suspect_until_us:
+            server.suspect_until_us = learned.suspect_until_us
+            server.failures = max(server.failures, learned.failures)
+        if (server.cold_since_us or 0) < learned.cold_since_us <= now_us:
+            server.cold_since_us = learned.cold_since_us
     controller.load_statistics_cache.clear()
     new = {
         title: number
@@ -81,20 +90,23 @@
 
 
 def import_seats(controller: Controller, others: Iterable[LearnedState]) -> None:
-    """A title's seats are one router's, whoever of those in its place has given them out."""
+    """Sets the seats taken by the router's other instances: a title's seats are counted per router."""
     taken: dict[str, dict[str, int]] = {}
     for other in others:
-        for kind, titles in other.seats.items():
-            of_kind = taken.setdefault(kind, {})
+        for class_name, titles in other.seats.items():
+            of_class = taken.setdefault(class_name, {})
             for title, count in titles.items():
-                of_kind[title] = of_kind.get(title, 0) + count
+                of_class[title] = of_class.get(title, 0) + count
     controller.sessions.seats_taken_elsewhere = taken
 
 
 def divide_traffic(controller: Controller, settings: api.Settings, instances: int) -> None:
-    """From now on so many instances together are the router that the settings tell of, each with its part of
-    the traffic: what is derived from the number of routers is then right for all of them together, and so is
-    the sum of the further attempts that are free."""
+    """Makes an instance one of `instances` that together form the router of the settings, each with its share
+    of the traffic.
+
+    What is derived from the number of routers is then right for all of them together, and so is the sum of
+    the further attempts that are free.
+    """
     controller.settings = replace(
         settings, fleet_size=settings.fleet_size * instances, budget_free=settings.budget_free / instances
     )
--- a/cloverhinge/wirehost.py
+++ b/cloverhinge/wirehost.py
@@ -1,6 +1,6 @@
-"""The simulator's wire: parses batches, hands events to one Controller an instance, writes the replies.
+"""Adapter to the simulator: reads batches of JSON messages, one a line, and answers each with its decisions.
 
-It translates and dispatches; every decision is the Controller's.
+Each instance has one Controller, which makes all decisions; the adapter only translates and dispatches.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 }
 MOVED_FLAG, RETURNING_FLAG, LENGTH_HINT_FLAG = 8, 16, 1
 
-# Every message name with the fewest values that it may carry.
+# The fewest values that each message may have, by its name.
 MIN_VALUES = {
     "born": 3,
     "down": 1,
@@ -48,10 +48,11 @@
 
 
 class WireError(Exception):
-    """The input is not what the wire page describes."""
+    """The input does not follow the protocol of the simulator."""
 
 
 def parse_listing(row: list[Any]) -> api.ServerListing:
+    """Translates a row of a server list; missing values take their defaults."""
     server, zone, kind, cell, health, weight, started = (row + [None] * 7)[:7]
     return api.ServerListing(
         server=server,
@@ -65,22 +66,25 @@
 
 
 def parse_report(stats: dict[str, Any] | None) -> api.LoadReport | None:
+    """Translates a load report; None where there is none."""
     if not stats:
         return None
     return api.LoadReport(streams=stats.get("outstanding"), link=stats.get("x0"), uplink=stats.get("x1"))
 
 
-def parse_request(v: list[Any]) -> api.SessionRequested:
-    (session, class_name, tenant, viewer, title, expires, length, first, copies, ceiling, bits) = v[:11]
+def parse_request(values: list[Any]) -> api.SessionRequested:
+    """Translates a "knock": a request for a session."""
+    (session, class_name, tenant, viewer, title, expires, length, first, copies, ceiling, bits) = values[:11]
     return build_request(
         session, class_name, tenant, viewer, title, expires, length, first, copies, ceiling, bits
     )
 
 
-def parse_carried(v: list[Any]) -> api.SessionRequested:
-    (session, bits, tenant, viewer, ceiling, class_name, server, length, first, copies, expires, title) = v[
-        :12
-    ]
+def parse_carried(values: list[Any]) -> api.SessionRequested:
+    """Translates a "carried": a session that plays already."""
+    (session, bits, tenant, viewer, ceiling, class_name, server, length, first, copies, expires, title) = (
+        values[:12]
+    )
     return build_request(
         session, class_name, tenant, viewer, title, expires, length, first, copies, ceiling, bits, server
     )
@@ -118,28 +122,31 @@
     )
 
 
-def parse_note(v: list[Any]) -> api.Event | None:
-    session, _attempt, server, what, amount = v[:5]
-    if what == 1:
-        return api.DeliveredShare(session, server, float(amount))
-    if what == 2:
-        return api.RungReported(session, server, int(amount))
-    if what == 3:
-        return api.LinkNote(session, server, float(amount))
-    if what == 4:
-        return api.UplinkNote(session, server, float(amount))
-    return None  # a kind of note that this version does not know
+def parse_note(values: list[Any]) -> api.Event | None:
+    """Translates an "interim": a note on a playing session."""
+    session, _attempt, server, note_kind, value = values[:5]
+    if note_kind == 1:
+        return api.DeliveredShare(session, server, float(value))
+    if note_kind == 2:
+        return api.RungReported(session, server, int(value))
+    if note_kind == 3:
+        return api.LinkNote(session, server, float(value))
+    if note_kind == 4:
+        return api.UplinkNote(session, server, float(value))
+    return None  # an unknown kind of note
 
 
-def parse_attempt_ended(v: list[Any]) -> api.AttemptEnded:
-    session, attempt, server, disposition, took, over, stats = (v + [None] * 3)[:7]
+def parse_attempt_ended(values: list[Any]) -> api.AttemptEnded:
+    """Translates a "settled": the end of an attempt or session."""
+    session, attempt, server, disposition, took, over, stats = (values + [None] * 3)[:7]
     return api.AttemptEnded(
         session, attempt, server, OUTCOMES[disposition], bool(over), int(took or 0), parse_report(stats)
     )
 
 
-def parse_probe_ended(v: list[Any]) -> api.ProbeEnded:
-    server, disposition, took, stats = (v + [None] * 2)[:4]
+def parse_probe_ended(values: list[Any]) -> api.ProbeEnded:
+    """Translates a "pingResult": the answer to a probe."""
+    server, disposition, took, stats = (values + [None] * 2)[:4]
     return api.ProbeEnded(server, OUTCOMES[disposition], int(took or 0), parse_report(stats))
 
 
@@ -157,6 +164,7 @@
 
 
 def encode(name: str, action: api.Action) -> list[Any]:
+    """Returns the decision that an action of an instance is sent as."""
     match action:
         case api.SetUp(session, server, timeout_us):
             return ["assign", name, session, timeout_us, server]
@@ -179,14 +187,14 @@
 
 
 class Host:
-    """All instances of one process.  They share the lists as read, and nothing else."""
+    """All instances of one process.  They share the server lists that were received and nothing else."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Controller] = {}
         self.server_lists: dict[int, tuple[api.ServerListing, ...]] = {}
 
     def handle_batch(self, line: str) -> str:
-        """Answer one line of input with one line of output."""
+        """Returns the line of output for a line of input.  Raises WireError for malformed input."""
         try:
             data = json.loads(line)
         except ValueError as error:
@@ -196,11 +204,11 @@
             or not isinstance(data.get("tsUs"), int)
             or not isinstance(data.get("msgs"), list)
         ):
-            raise WireError("a batch holds tsUs and msgs")
+            raise WireError("a batch has to have tsUs, an integer, and msgs, an array")
         decisions: list[list[Any]] = []
         for message in data["msgs"]:
             if not isinstance(message, list) or not message or not isinstance(message[0], str):
-                raise WireError("a message is an array that begins with its name")
+                raise WireError("a message has to be an array that begins with its name")
             tag, values = message[0], message[1:]
             if tag not in MIN_VALUES:
                 raise WireError(f"unknown message {tag[:40]!r}")
@@ -213,6 +221,7 @@
         return json.dumps({"decisions": decisions}, separators=(",", ":"))
 
     def handle_message(self, now_us: int, tag: str, values: list[Any], decisions: list[list[Any]]) -> None:
+        """Applies one message and appends the decisions that follow; unknown instances are ignored."""
         if tag == "roster":
             self.server_lists[values[0]] = tuple(parse_listing(row) for row in values[1])
             return
@@ -231,18 +240,19 @@
             else:
                 event = PARSERS[tag](values[1:])
             if event is not None:
-                told = event
+                received = event
                 controller = self.instances[name]
-                self.run_instance(name, decisions, lambda: controller.handle(now_us, told))
+                self.run_instance(name, decisions, lambda: controller.handle(now_us, received))
 
     def start_instance(self, name: str, settings: api.Settings, seed: int) -> list[api.Action]:
+        """Starts an instance, in place of one of the same name."""
         self.instances[name] = Controller(settings, seed)
         return []
 
     def run_instance(
         self, name: str, decisions: list[list[Any]], call: Callable[[], list[api.Action]]
     ) -> None:
-        """Run the module; an exception of its own becomes the wire's crash of that instance."""
+        """Calls an instance and encodes its actions; an exception becomes a "crash" and ends it."""
         try:
             actions = call()
         except Exception as error:
@@ -255,6 +265,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
+    """Answers lines until the input ends; returns the exit status, 2 after malformed input."""
     host = Host()
     for number, line in enumerate(source, 1):
         if not line.strip():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -61,7 +61,7 @@
 
 
 def test_the_stagger_is_what_holds_a_crowd_off_a_cold_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Controller, "cold_turn", lambda *_: True)
+    monkeypatch.setattr(Controller, "wins_cold_draw", lambda *_: True)
     told = settings(fleet_size=150, cells=1, racks=1, weight_kb=1e6, uplink_kb=1e6)
     assert len([x for x in cold_server_sends(told, True) if x < 1_000_000]) > 50
 
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -55,9 +55,9 @@
     looks: list[int] = []
     plain = drive.controller.next_step_down
 
-    def looked(number: int, x: Session, planned: dict[int, int]) -> tuple[float, int, int, float]:
+    def looked(number: int, session: Session, planned: dict[int, int]) -> tuple[float, int, int, float]:
         looks.append(number)
-        return plain(number, x, planned)
+        return plain(number, session, planned)
 
     drive.controller.next_step_down = looked  # type: ignore[method-assign]
     return looks
