--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small deployment for the tests and a driver that keeps the clock."""
+"""Settings of a small deployment, and a driver of one controller with a manual clock."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 
 
 class Driver:
-    """One controller with six servers, one a cell, and a clock of its own."""
+    """One controller with six servers, one in each cell, and a manual clock."""
 
-    def __init__(self, told: api.Settings = BASE, seed: int = 1, servers: int = 6) -> None:
-        self.controller = Controller(told, seed)
+    def __init__(self, driver_settings: api.Settings = BASE, seed: int = 1, servers: int = 6) -> None:
+        self.controller = Controller(driver_settings, seed)
         self.now_us = 100_000_000
         self.last_session = 0
         self.log: list[api.Action] = []
@@ -68,7 +68,7 @@
         return self.last_session, self.handle(event)
 
     def play(self, title: str = "t", **more: Any) -> int:
-        """Ask, and let the set-up succeed; returns the server."""
+        """Requests a session, lets the set-up succeed and returns the server."""
         session, actions = self.request(title, **more)
         server = only_set_up(actions).server
         self.handle(api.SessionStarted(session, server, 0), 50_000)
@@ -94,7 +94,7 @@
         uplink: float | None = None,
         streams: float | None = None,
     ) -> list[api.Action]:
-        """A load report that describes this moment, as a probe brings it."""
+        """Reports the present loads of a server by a probe."""
         return self.handle(
             api.ProbeEnded(server, api.Outcome.SERVED, 0, api.LoadReport(streams, link, uplink))
         )
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter, driven as a subprocess over hand-written batches."""
+"""The simulator's adapter, run as a subprocess with hand-written batches."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
     assert reply[1][2] == 42 and reply[1][4] in (1, 2)
 
 
-def test_a_failed_attempt_goes_on_elsewhere_and_notes_are_read() -> None:
+def test_a_failed_attempt_is_repeated_elsewhere_and_notes_are_read() -> None:
     first = decisions(run(BORN, [KNOCK]))[1][1][4]
     done = run(
         BORN,
@@ -85,7 +85,7 @@
     assert [r for r in decisions(done)[2] if r[0] == "assign"][0][4] == 3 - first
 
 
-def test_a_restarted_instance_begins_anew() -> None:
+def test_a_restarted_instance_starts_without_state() -> None:
     done = run([*BORN, KNOCK, ["down", "manager-0"], *BORN], [["gone", "manager-0", 42], [*KNOCK]])
     assert done.returncode == 0
     assert "assign" in [r[0] for r in decisions(done)[1]]
@@ -97,7 +97,7 @@
     assert "assign" in [r[0] for r in decisions(done)[1]]
 
 
-def test_a_carried_session_holds_its_place() -> None:
+def test_a_carried_session_is_accepted() -> None:
     carried = ["carried", "manager-0", 9, 0, None, "cc", 1, "film", 1, None, 0, 3, 9000000, "bb"]
     assert run(BORN, [carried]).returncode == 0
 
@@ -112,7 +112,7 @@
         ('{"tsUs":1,"msgs":[7]}', "array"),
     ],
 )
-def test_bad_input_ends_the_adapter_with_one_line(batch: str, words: str) -> None:
+def test_malformed_input_ends_the_adapter_with_one_line(batch: str, words: str) -> None:
     done = run([], batch)
     assert done.returncode != 0 and decisions(done) == [[]]
     assert done.stderr.count("\n") == 1 and "line 2" in done.stderr and words in done.stderr
