--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -99,7 +99,7 @@
             rows.append({"rows in a commit": size, **spread(took)})
         for at in range(0, 65_536, 4096):
             folder.commit({f"s/{n}": b"x" * 500 for n in range(at, at + 4096)})
-        count = folder.rows
+        count = folder.row_count
         folder.close()
         begun = time.monotonic()
         folder.open()
--- a/cloverhinge/admission/replicated_reservations.py
+++ b/cloverhinge/admission/replicated_reservations.py
@@ -12,10 +12,10 @@
 from cloverhinge.admission.gateway import AdmissionGateway
 from cloverhinge.admission.reservations import Reservation
 from cloverhinge.core.model import Request
-from cloverhinge.ownership.component import Part
+from cloverhinge.ownership.component import OwnershipComponent
 from cloverhinge.ownership.model import Verdict
 from cloverhinge.ownership.register import Phase, Work
-from cloverhinge.ownership.replicated_work import Kept
+from cloverhinge.ownership.replicated_work import ReplicatedSession
 
 RECORD_PREFIX = "d"
 REPLICA_TIMEOUT_MS = (
@@ -25,36 +25,38 @@
 
 
 class ReplicatedReservations:
-    def __init__(self, part: Part, gate: AdmissionGateway, max_retry_after_ms: float) -> None:
-        self.part = part
+    def __init__(
+        self, ownership: OwnershipComponent, gate: AdmissionGateway, max_retry_after_ms: float
+    ) -> None:
+        self.ownership = ownership
         gate.claims = self
-        part.serve(RECORD_PREFIX, self, max_retry_after_ms + MAX_WINDOW_MS)
+        ownership.add_front(RECORD_PREFIX, self, max_retry_after_ms + MAX_WINDOW_MS)
 
     # The gate's `Claims`
 
     def claim(self, promise: Reservation, call: Callable[[bool], None]) -> None:
         def answered(verdict: Verdict, work: Work | None) -> None:
             mine = verdict in (Verdict.NEW, Verdict.TAKEN_OVER)
-            call(mine or verdict is Verdict.UNREPLICATED and self.part.site.serve)
+            call(mine or verdict is Verdict.UNREPLICATED and self.ownership.site.serve)
 
-        kept = Kept("", "", f"{promise.viewer:x}")
-        self.part.claim(
+        kept = ReplicatedSession("", "", f"{promise.viewer:x}")
+        self.ownership.claim(
             self._id(promise),
             True,
             kept,
             REPLICA_TIMEOUT_MS,
-            self.part.clock.now() + HAND_OVER_TIMEOUT_MS,
+            self.ownership.clock.now() + HAND_OVER_TIMEOUT_MS,
             answered,
         )
 
     def settle(self, promise: Reservation, claimed: bool) -> None:
         id = self._id(promise)
         if claimed:
-            self.part.end(id)
+            self.ownership.end(id)
         else:
-            self.part.change(id, Phase.STANDS)
-            self.part.deadlines.after(
-                max(0.0, promise.expires_ms - self.part.clock.now()), lambda: self.part.end(id)
+            self.ownership.update_phase(id, Phase.STANDS)
+            self.ownership.deadlines.after(
+                max(0.0, promise.expires_ms - self.ownership.clock.now()), lambda: self.ownership.end(id)
             )
 
     @staticmethod
@@ -64,20 +66,20 @@
 
     # Custody's `Wire`
 
-    def own_name(self, text: str) -> str:
+    def record_name(self, text: str) -> str:
         return text
 
-    def adopt(self, id: str, kept: Kept) -> bool:
+    def adopt(self, id: str, session: ReplicatedSession) -> bool:
         return True  # the ticket that its viewer brings says all
 
-    def held(self, id: str) -> Request | None:
+    def request_of(self, id: str) -> Request | None:
         return None
 
-    def wanted(self, id: str) -> bool:
+    def has_client(self, id: str) -> bool:
         return True
 
-    def lost(self, id: str) -> None:
+    def ownership_lost(self, id: str) -> None:
         """Whoever has it now honours it."""
 
-    def let_go(self, kept: Kept) -> None:
+    def release_leftover(self, session: ReplicatedSession) -> None:
         """Nothing of it is at a box."""
--- a/cloverhinge/hls/replicated_plays.py
+++ b/cloverhinge/hls/replicated_plays.py
@@ -10,44 +10,46 @@
 from cloverhinge.core.model import Request, State
 from cloverhinge.hls.media_servers import HlsBoxes
 from cloverhinge.hls.plays import BUSY_MS, Final, Over, Play, Plays, PlayViewer
-from cloverhinge.ownership.component import SOON_MS, Part
+from cloverhinge.ownership.component import CLAIM_TIMEOUT_MS, OwnershipComponent
 from cloverhinge.ownership.model import Verdict
 from cloverhinge.ownership.register import Phase, Work
-from cloverhinge.ownership.replicated_work import Kept
+from cloverhinge.ownership.replicated_work import ReplicatedSession
 from cloverhinge.site.model import HlsSite
 
-LETTER = "h"
-SHORT_MS = 100.0  # for keepers to answer a repeatable claim, which is served without them
-MARGIN_MS = 600.0  # of a viewer's time that is left for the set-up
-FIND_MS = 3000.0  # for a playlist's session to be found: two leases
-TOKEN = 32  # characters
+RECORD_PREFIX = "h"
+REPEATABLE_CLAIM_TIMEOUT_MS = 100.0  # for keepers to answer a repeatable claim, which is served without them
+SET_UP_RESERVE_MS = 600.0  # of a viewer's time that is left for the set-up
+FIND_TIMEOUT_MS = 3000.0  # for a playlist's session to be found: two leases
+TOKEN_LENGTH = 32  # characters
 
 
-class KeptPlays:
+class ReplicatedPlays:
     """The plays' `Custody`, and the front's side of it."""
 
-    def __init__(self, part: Part, plays: Plays, boxes: HlsBoxes, site: HlsSite) -> None:
-        self.part, self.plays, self.boxes, self.titles = part, plays, boxes, site.titles
-        self.key = hashlib.sha256(b"cloverhinge play\0" + site.key).digest()
+    def __init__(self, ownership: OwnershipComponent, plays: Plays, servers: HlsBoxes, site: HlsSite) -> None:
+        self.ownership, self.plays, self.servers, self.titles = ownership, plays, servers, site.titles
+        self.token_key = hashlib.sha256(b"cloverhinge play\0" + site.key).digest()
         plays.custody = self
         longest = max((x.length_ms for x in site.titles.values()), default=0.0)
-        part.serve(LETTER, self, site.idle_ms + longest)
+        ownership.add_front(RECORD_PREFIX, self, site.idle_ms + longest)
 
     # The plays' `Custody`
 
-    def token(self, key: str) -> str:
-        return hmac.new(self.key, key.encode(), hashlib.sha256).hexdigest()[:TOKEN]
+    def token(self, play_id: str) -> str:
+        return hmac.new(self.token_key, play_id.encode(), hashlib.sha256).hexdigest()[:TOKEN_LENGTH]
 
     async def claim(self, play: Play) -> None:
-        part, id = self.part, f"{LETTER}/{play.token}"
+        part, id = self.ownership, f"{RECORD_PREFIX}/{play.token}"
         held = part.core.owned.get(id)
         if held is not None and not held.hand_over_to and held.work.phase is Phase.INTENT:
             return
         if part.core.leaving:
             raise Final(503, "this router ends, another one serves", BUSY_MS)
         title = play.title
-        until = part.clock.now() + part.router.classes[play.class_name].deadline_us / 1000.0 - MARGIN_MS
-        kept = Kept(
+        until = (
+            part.clock.now() + part.router.classes[play.class_name].deadline_us / 1000.0 - SET_UP_RESERVE_MS
+        )
+        kept = ReplicatedSession(
             play.class_name,
             play.title_name,
             play.key,
@@ -55,14 +57,14 @@
             copies=title.copies,
             ceiling=title.ceiling,
             length_ms=title.length_ms,
-            peer=play.peer,
+            peer_address=play.peer,
         )
         answer: Deferred[tuple[Verdict, Work | None]] = Deferred()
         part.claim(
             id,
             play.paid,
             kept,
-            SOON_MS if play.paid else SHORT_MS,
+            CLAIM_TIMEOUT_MS if play.paid else REPEATABLE_CLAIM_TIMEOUT_MS,
             until,
             lambda verdict, work: answer.callback((verdict, work)),
         )
@@ -78,57 +80,59 @@
         if verdict is Verdict.UNREPLICATED:
             if play.paid and not part.site.serve:
                 raise Final(503, "it can't be kept by other routers now", BUSY_MS)
-            part.note(part.unkept, id)
+            part.remember(part.served_unreplicated, id)
 
     async def find(self, token: str) -> None:
-        if self.part.core.leaving or len(token) != TOKEN:
+        if self.ownership.core.leaving or len(token) != TOKEN_LENGTH:
             return
         answer: Deferred[Verdict] = Deferred()
-        self.part.find(
-            f"{LETTER}/{token}",
-            SOON_MS,
-            self.part.clock.now() + FIND_MS,
+        self.ownership.find(
+            f"{RECORD_PREFIX}/{token}",
+            CLAIM_TIMEOUT_MS,
+            self.ownership.clock.now() + FIND_TIMEOUT_MS,
             lambda verdict, work: answer.callback(verdict),
         )
         if await answer in (Verdict.OWNED_ELSEWHERE, Verdict.UNREPLICATED):
             raise Final(503, "another router has this session", BUSY_MS)
 
     def forgot(self, play: Play) -> None:
-        self.part.end(f"{LETTER}/{play.token}")
+        self.ownership.end(f"{RECORD_PREFIX}/{play.token}")
 
     # Custody's `Wire`
 
-    def own_name(self, text: str) -> str:
+    def record_name(self, text: str) -> str:
         return self.token(text)
 
-    def held(self, id: str) -> Request | None:
+    def request_of(self, id: str) -> Request | None:
         play = self.plays.by_token.get(id[2:])
         return None if play is None else play.request
 
-    def wanted(self, id: str) -> bool:
+    def has_client(self, id: str) -> bool:
         return id[2:] in self.plays.by_token
 
-    def adopt(self, id: str, kept: Kept) -> bool:
-        title = self.titles.get(kept.title)
-        if title is None or kept.class_name not in self.plays.router.classes:
+    def adopt(self, id: str, session: ReplicatedSession) -> bool:
+        title = self.titles.get(session.title)
+        if title is None or session.class_name not in self.plays.router.classes:
             return False
         try:
-            play = self.plays.find(kept.key, kept.class_name, kept.title, title)
+            play = self.plays.find(session.viewer_id, session.class_name, session.title, title)
         except Final:
             return False
         if play.request is not None and play.request.state is not State.OVER:
             return True
-        play.peer = play.peer or kept.peer
-        play.request = self.part.carry(kept.ask(id), kept, PlayViewer(self.plays, play), self.boxes)
+        play.peer = play.peer or session.peer_address
+        play.request = self.ownership.adopt_session(
+            session.set_up_request(id), session, PlayViewer(self.plays, play), self.servers
+        )
         self.plays.touch(play)
         return play.request is not None
 
-    def lost(self, id: str) -> None:
+    def ownership_lost(self, id: str) -> None:
         play = self.plays.by_token.get(id[2:])
         if play is not None:
             play.request = None
             self.plays.forget(play)
             play.wake(Final(503, "another router has this play now", BUSY_MS))
 
-    def let_go(self, kept: Kept) -> None:
-        self.boxes.let_go(kept.server, kept.name)
+    def release_leftover(self, session: ReplicatedSession) -> None:
+        self.servers.let_go(session.server, session.session_id)
--- a/cloverhinge/node.py
+++ b/cloverhinge/node.py
@@ -132,10 +132,11 @@
             self.components.append(self.members)
         self.ownership: Any = None  # of work in hand, where it is wanted
         if site.custody is not None:
-            from cloverhinge.ownership.component import Part as Custody  # loaded only where routers keep work
-            from cloverhinge.rtsp.replicated_sessions import KeptSessions
+            # Loaded only where routers hold replicas of each other's work.
+            from cloverhinge.ownership.component import OwnershipComponent
+            from cloverhinge.rtsp.replicated_sessions import ReplicatedSessions
 
-            self.ownership = Custody(
+            self.ownership = OwnershipComponent(
                 site.custody,
                 self.members,
                 self.router,
@@ -144,7 +145,7 @@
                 config.seed,
                 None if site.store is None else site.store.folder,
             )
-            KeptSessions(self.ownership, self.router, self.front, self.media_servers)
+            ReplicatedSessions(self.ownership, self.router, self.front, self.media_servers)
             if self.admission is not None and site.door is not None:
                 from cloverhinge.admission.replicated_reservations import ReplicatedReservations
 
@@ -184,7 +185,7 @@
         )
         if self.site.admin is not None:
             commands: dict[str, Callable[[str], dict[str, Any]]] = (
-                {} if self.ownership is None else {"custody": self.ownership.look}
+                {} if self.ownership is None else {"custody": self.ownership.look_up}
             )
             if self.operations is not None:
                 commands |= self.operations.commands()
@@ -246,9 +247,9 @@
             None if self.admission is None else self.admission.clients.identify,
         )
         if self.ownership is not None:
-            from cloverhinge.hls.replicated_plays import KeptPlays
+            from cloverhinge.hls.replicated_plays import ReplicatedPlays
 
-            KeptPlays(self.ownership, held, boxes, site)
+            ReplicatedPlays(self.ownership, held, boxes, site)
         host, port = site.listen
         wired = front.factory(root, self.config.sockets // 4, self.deadlines)
         web = reactor.listenTCP(port, wired, backlog=BACKLOG, interface=host)
--- a/cloverhinge/ownership/component.py
+++ b/cloverhinge/ownership/component.py
@@ -27,47 +27,51 @@
 from cloverhinge.ownership.model import Verdict
 from cloverhinge.ownership.persistence import Persist
 from cloverhinge.ownership.register import Phase, Work
-from cloverhinge.ownership.replicated_work import Kept, encode, read
+from cloverhinge.ownership.replicated_work import ReplicatedSession, decode, encode
 from cloverhinge.ownership.wire import Member, name_of
 from cloverhinge.site.model import CustodySite
 from cloverhinge.store import Mark
 
 if TYPE_CHECKING:
-    from cloverhinge.ownership.replica_store import Shelf
-
-BY_NAME = "r"  # the letter of the front whose work goes by the session's name
-SOON_MS = 500.0  # for keepers to answer a paid claim: ten times what was sent is sent again in that time
-FLUSH_MS = 5.0  # copies that nobody waits for leave together: so long a killed router may take one with it
-KEPT_MS = 250.0  # that a paid answer waits for the keepers to have it, at the most
-ROOM_MS = 1000.0  # between looks at the members' room
-LASTS_MS = 60_000.0  # an answer that stays is kept for so long at least
-ANSWER_MOST = 1024  # bytes of an RTSP answer that are kept; longer ones are told empty by a successor
-PENDING_MOST = 1024  # releases and answers that wait for certainty
-HANDED_MOST = 4096  # names of sessions that went to others
-
-
-class Wire(Protocol):
+    from cloverhinge.ownership.replica_store import ReplicaStore
+
+SESSION_PREFIX = "r"  # the letter of the front whose work goes by the session's name
+CLAIM_TIMEOUT_MS = (
+    500.0  # for keepers to answer a paid claim: ten times what was sent is sent again in that time
+)
+FLUSH_DELAY_MS = (
+    5.0  # copies that nobody waits for leave together: so long a killed router may take one with it
+)
+MAX_ANSWER_DELAY_MS = 250.0  # that a paid answer waits for the keepers to have it, at the most
+MEMBERS_UPDATE_MS = 1000.0  # between looks at the members' room
+MIN_RETENTION_MS = 60_000.0  # an answer that stays is kept for so long at least
+MAX_ANSWER_BYTES = 1024  # bytes of an RTSP answer that are kept; longer ones are told empty by a successor
+MAX_PENDING = 1024  # releases and answers that wait for certainty
+MAX_REMEMBERED = 4096  # names of sessions that went to others
+
+
+class FrontAdapter(Protocol):
     """One front's side: what it holds under its records' ids."""
 
-    def own_name(self, text: str) -> str:
+    def record_name(self, text: str) -> str:
         """The name within the id, for what people call it."""
 
-    def adopt(self, id: str, kept: Kept) -> bool:
+    def adopt(self, id: str, kept: ReplicatedSession) -> bool:
         """A session that stands goes on here, by `Part.carry`; False where it can't."""
 
-    def held(self, id: str) -> Request | None: ...
+    def request_of(self, id: str) -> Request | None: ...
 
-    def wanted(self, id: str) -> bool:
+    def has_client(self, id: str) -> bool:
         """Whether a viewer of it is here."""
 
-    def lost(self, id: str) -> None:
+    def ownership_lost(self, id: str) -> None:
         """Another router has it: forget it, and answer who waits."""
 
-    def let_go(self, kept: Kept) -> None:
+    def release_leftover(self, kept: ReplicatedSession) -> None:
         """Tell the box to release what an earlier owner may have left there."""
 
 
-class Part:
+class OwnershipComponent:
     """A part of the node, and the core's `Custody`."""
 
     log = Logger()
@@ -81,59 +85,63 @@
         clock: Clock,
         deadlines: Deadlines,
         seed: int,
-        store: Path | None = None,
+        store_folder: Path | None = None,
     ) -> None:
         """`store`: the folder of what outlives a restart, where there is one."""
-        self.site, self.members, self.router, self.store = site, members, router, store
-        self.shelf: Shelf | None = None
+        self.site, self.members, self.router, self.store_folder = site, members, router, store_folder
+        self.replica_store: ReplicaStore | None = None
         self.clock, self.deadlines, self.seed = clock, deadlines, seed
-        self.wires: dict[str, Wire] = {}
-        self.lasts_ms = LASTS_MS
+        self.adapters: dict[str, FrontAdapter] = {}
+        self.retention_ms = MIN_RETENTION_MS
         self.core: core.OwnershipCore
-        self._count = 0
-        self._asked: dict[int, Callable[[Verdict, Work | None], None]] = {}
-        self._telling: dict[str, tuple[Request, bytes]] = {}  # paid answers that wait to be kept
-        self._answers: dict[str, tuple[Attempt, bytes]] = {}  # that wait for certainty
-        self._releases: OrderedDict[str, tuple[Request, Cause]] = OrderedDict()
-        self.handed: OrderedDict[str, None] = OrderedDict()
-        self.unkept: OrderedDict[str, None] = OrderedDict()  # served without keepers
-        self._sure: tuple[Request | None, bool] = (None, False)  # of the last one that ended
+        self._last_call = 0
+        self._calls: dict[int, Callable[[Verdict, Work | None], None]] = {}
+        self._unreplicated_answers: dict[str, tuple[Request, bytes]] = {}  # paid answers that wait to be kept
+        self._unconfirmed_answers: dict[str, tuple[Attempt, bytes]] = {}  # that wait for certainty
+        self._unconfirmed_releases: OrderedDict[str, tuple[Request, Cause]] = OrderedDict()
+        self.handed_over: OrderedDict[str, None] = OrderedDict()
+        self.served_unreplicated: OrderedDict[str, None] = OrderedDict()  # served without keepers
+        self._last_ended: tuple[Request | None, bool] = (None, False)  # of the last one that ended
         self._adopting = False
-        self._flushing: DeadlineKey | None = None
-        self._fresh: dict[str, Request] = {}  # repeatable ones that no keeper knows yet
-        self._changed = True
-        self._room_ms = -1e12
+        self._flush_timer: DeadlineKey | None = None
+        self._unclaimed: dict[str, Request] = {}  # repeatable ones that no keeper knows yet
+        self._members_changed = True
+        self._members_updated_ms = -1e12
 
     # The node's side
 
-    def serve(self, letter: str, wire: Wire, lasts_ms: float = 0.0) -> None:
+    def add_front(self, prefix: str, adapter: FrontAdapter, retention_ms: float = 0.0) -> None:
         """A front whose work is kept; its answers that stay last for `lasts_ms` at least."""
-        self.wires[letter] = wire
-        self.lasts_ms = max(self.lasts_ms, lasts_ms)
+        self.adapters[prefix] = adapter
+        self.retention_ms = max(self.retention_ms, retention_ms)
 
     def start(self) -> None:
         own = Member(self.members.name, self.members.membership.run, self.members.site.site)
         rules = model.Rules(
-            self.site.keepers, self.site.lease_ms, self.site.routers, self.lasts_ms, self.lasts_ms
+            self.site.keepers, self.site.lease_ms, self.site.routers, self.retention_ms, self.retention_ms
         )
-        if self.store is not None:
-            from cloverhinge.ownership.replica_store import Shelf  # loaded only where there is a folder
+        if self.store_folder is not None:
+            from cloverhinge.ownership.replica_store import (
+                ReplicaStore,  # loaded only where there is a folder
+            )
 
             reactor = self.members.reactor
-            self.shelf = Shelf(self.store, own, reactor.callFromThread, self._durable, self._failed)
-            reactor.addSystemEventTrigger("after", "shutdown", self.shelf.close)
+            self.replica_store = ReplicaStore(
+                self.store_folder, own, reactor.callFromThread, self._on_durable, self._on_store_failure
+            )
+            reactor.addSystemEventTrigger("after", "shutdown", self.replica_store.close)
         self.core = core.OwnershipCore(
-            own, rules, self.seed, None if self.shelf is None else self.shelf.recall
+            own, rules, self.seed, None if self.replica_store is None else self.replica_store.persistence
         )
         self.router.ownership = self
-        self.members.receivers[self.key] = self._heard
-        self.members.listeners.append(self._watch)
+        self.members.receivers[self.key] = self._receive
+        self.members.listeners.append(self._on_membership_event)
         self._tick()
 
-    def _durable(self, number: int, mark: Mark) -> None:
+    def _on_durable(self, number: int, mark: Mark) -> None:
         self._act(self.core.on_durable(self.clock.now(), number, mark))
 
-    def _failed(self, why: str) -> None:
+    def _on_store_failure(self, why: str) -> None:
         self.log.error("{name}: store: {why}", name=self.members.name, why=why)
         self._act(self.core.on_store_failure(self.clock.now(), why))
 
@@ -159,16 +167,16 @@
                 "holes": len(self.core.replica_sets.holes),
             },
             "trying": len(self.core.acquisitions),
-            "store": None if self.shelf is None else self.shelf.status(),
+            "store": None if self.replica_store is None else self.replica_store.status(),
         }
 
-    def look(self, text: str) -> dict[str, Any]:
+    def look_up(self, text: str) -> dict[str, Any]:
         """What this router knows of a piece of work, by the name that its front gives it."""
-        ids = [f"{letter}/{wire.own_name(text)}" for letter, wire in self.wires.items()]
+        ids = [f"{letter}/{wire.record_name(text)}" for letter, wire in self.adapters.items()]
         for id in ids:
             work = self.core.known_work(id)
             if work is not None:
-                kept = read(work) or Kept("", "", "")
+                kept = decode(work) or ReplicatedSession("", "", "")
                 server = self.router.listings.get(kept.server)
                 box = "" if server is None else f"s-{server.server:08x}"
                 return {
@@ -180,7 +188,7 @@
                     "keepers": list(map(name_of, self.core.replicas_of(id))),
                     "class": kept.class_name,
                     "title": kept.title,
-                    "session": kept.name,
+                    "session": kept.session_id,
                     "box": box,
                     "mine": id in self.core.owned,
                 }
@@ -191,11 +199,11 @@
 
     # Membership's side
 
-    def _watch(self, event: Event) -> None:
+    def _on_membership_event(self, event: Event) -> None:
         if isinstance(event, MemberChanged | IncarnationVoided):
-            self._changed = True
+            self._members_changed = True
 
-    def _heard(self, carried: ComponentMessageReceived) -> None:
+    def _receive(self, carried: ComponentMessageReceived) -> None:
         record = self.members.membership.table.records.get(carried.name)
         member = Member(carried.name, carried.run, "" if record is None else record.site)
         try:
@@ -205,29 +213,29 @@
 
     def _tick(self) -> None:
         now, members = self.clock.now(), self.members.membership
-        if members.joined and (self._changed or now - self._room_ms >= ROOM_MS):
-            self._changed, self._room_ms = False, now
+        if members.joined and (self._members_changed or now - self._members_updated_ms >= MEMBERS_UPDATE_MS):
+            self._members_changed, self._members_updated_ms = False, now
             alive = {
                 Member(x.name, x.run, x.site): x
                 for x in members.table.records.values()
                 if x.state is MemberState.ALIVE
             }
-            room = {x.member_id: self._room_of(record.facts) for x, record in alive.items()}
+            room = {x.member_id: self._spare_capacity(record.facts) for x, record in alive.items()}
             self.core.update_members(
                 {x: record.incarnation for x, record in alive.items()}, members.had_earlier_run, room
             )
         self._act(self.core.tick(now))
-        for id, (attempt, answer) in list(self._answers.items()):
+        for id, (attempt, answer) in list(self._unconfirmed_answers.items()):
             request = attempt.request
             if request.attempt is not attempt or request.state is not State.OPEN:
-                del self._answers[id]
+                del self._unconfirmed_answers[id]
             elif self.core.may_act(id, now):
-                del self._answers[id]
+                del self._unconfirmed_answers[id]
                 self.router.answered(attempt, answer)
         self.deadlines.after(core.TICK_MS, self._tick)
 
     @staticmethod
-    def _room_of(facts: bytes) -> float:
+    def _spare_capacity(facts: bytes) -> float:
         try:
             told = msgspec.msgpack.decode(facts) if facts else {}
             return float(told.get("capacity", 1) - told.get("load", 0) - told.get("open", 0))
@@ -242,94 +250,105 @@
                 case model.Send(to, body):
                     self.members.send_component_message(to.name, to.run, self.key, body)
                 case model.Answer(number, verdict, work):
-                    call = self._asked.pop(number, None)
+                    call = self._calls.pop(number, None)
                     if call is not None:
                         call(verdict, work)
                 case model.Acquired(id, work, found):
-                    self._took(id, work, found)
+                    self._on_acquired(id, work, found)
                 case model.OwnershipLost(id, _, over):
-                    self._lost(id, over)
+                    self._on_ownership_lost(id, over)
                 case model.Replicated(id, phase):
                     if phase is Phase.STANDS:
-                        self._tell(id)
-                    self._released(id)
+                        self._send_answer(id)
+                    self._send_release(id)
                 case model.Closed(id):
-                    self._released(id)
+                    self._send_release(id)
                 case Persist():
-                    if self.shelf is not None:
-                        self.shelf.put(action)
+                    if self.replica_store is not None:
+                        self.replica_store.put(action)
                 case model.LogMessage(text):
                     self.log.info("{name}: custody: {text}", name=self.members.name, text=text)
         if self.core.has_outgoing:
             self._flush_soon()
 
     def _flush_soon(self) -> None:
-        if self._flushing is None:
-            self._flushing = self.deadlines.after(FLUSH_MS, self._flush)
+        if self._flush_timer is None:
+            self._flush_timer = self.deadlines.after(FLUSH_DELAY_MS, self._flush)
 
     def _flush(self) -> None:
-        self._flushing = None
-        fresh, self._fresh = self._fresh, {}
+        self._flush_timer = None
+        fresh, self._unclaimed = self._unclaimed, {}
         for request in fresh.values():
             if request.state is not State.OVER:
-                self._copy(request)
+                self._claim_deferrable(request)
         self._act(self.core.flush(self.clock.now()))
 
-    def ask(self, call: Callable[[Verdict, Work | None], None]) -> int:
-        self._count += 1
-        self._asked[self._count] = call
-        return self._count
+    def _add_call(self, call: Callable[[Verdict, Work | None], None]) -> int:
+        self._last_call += 1
+        self._calls[self._last_call] = call
+        return self._last_call
 
     def claim(
         self,
         id: str,
         paid: bool,
-        kept: Kept,
-        soon_ms: float,
-        until_ms: float,
+        session: ReplicatedSession,
+        timeout_ms: float,
+        owned_deadline_ms: float,
         call: Callable[[Verdict, Work | None], None],
-        soon: bool = False,
+        deferrable: bool = False,
     ) -> None:
         """`soon`: its viewer does not wait for it."""
         now = self.clock.now()
-        self._act(self.core.claim(now, self.ask(call), id, paid, encode(kept), now + soon_ms, until_ms, soon))
+        self._act(
+            self.core.claim(
+                now,
+                self._add_call(call),
+                id,
+                paid,
+                encode(session),
+                now + timeout_ms,
+                owned_deadline_ms,
+                deferrable,
+            )
+        )
 
     def find(
         self,
         id: str,
-        soon_ms: float,
-        until_ms: float,
+        timeout_ms: float,
+        owned_deadline_ms: float,
         call: Callable[[Verdict, Work | None], None],
     ) -> None:
         now = self.clock.now()
-        self._act(self.core.find(now, self.ask(call), id, now + soon_ms, until_ms))
+        self._act(self.core.find(now, self._add_call(call), id, now + timeout_ms, owned_deadline_ms))
 
     def end(self, id: str) -> None:
         """The front has forgotten it."""
-        self.change(id, Phase.OVER)
+        self.update_phase(id, Phase.OVER)
 
-    def change(self, id: str, phase: Phase) -> None:
+    def update_phase(self, id: str, phase: Phase) -> None:
         """What the front keeps of it stays as it is."""
         held = self.core.owned.get(id)
         if held is not None:
             self._act(self.core.update(self.clock.now(), id, phase, held.work.body))
 
-    def _update(self, id: str, phase: Phase, kept: Kept) -> None:
+    def _update(self, id: str, phase: Phase, kept: ReplicatedSession) -> None:
         self._act(self.core.update(self.clock.now(), id, phase, encode(kept)))
 
     @staticmethod
-    def _id(request: Request) -> str:
-        return request.set_up.record_id or f"{BY_NAME}/{request.set_up.session_id}"
+    def _record_id(request: Request) -> str:
+        return request.set_up.record_id or f"{SESSION_PREFIX}/{request.set_up.session_id}"
 
     @staticmethod
-    def _paid(request: Request) -> bool:
+    def _is_paid(request: Request) -> bool:
         return request.service_class.effect is not Effect.REPEATABLE
 
     @staticmethod
-    def _kept(request: Request, server: int | None, answer: bytes = b"") -> Kept:
+    def _session_of(request: Request, server: int | None, answer: bytes = b"") -> ReplicatedSession:
         """`server`: where it stands, or may; None: nowhere."""
         ask, at = request.set_up, -1 if server is None else server
-        return Kept(
+        return ReplicatedSession(
             ask.class_name,
             ask.title,
             ask.viewer_id,
@@ -341,19 +360,19 @@
             ask.ceiling,
             ask.length_ms,
             ask.peer_address,
-            answer if len(answer) <= ANSWER_MOST and not ask.record_id else b"",
+            answer if len(answer) <= MAX_ANSWER_BYTES and not ask.record_id else b"",
         )
 
     # The core's `Custody`
 
     def prepare(self, attempt: Attempt) -> None:
-        request, id = attempt.request, self._id(attempt.request)
-        kept = self._kept(request, attempt.server)
+        request, id = attempt.request, self._record_id(attempt.request)
+        kept = self._session_of(request, attempt.server)
         if request.set_up.record_id or id in self.core.owned or attempt.number > 0:
             self._update(id, Phase.INTENT, kept)  # it is this router's; its box is told after the fact
             self.router.send(attempt)
-        elif not self._paid(request):
-            self._fresh[id] = request  # copied with the next ones: by then it may be over
+        elif not self._is_paid(request):
+            self._unclaimed[id] = request  # copied with the next ones: by then it may be over
             self._flush_soon()
             self.router.send(attempt)
         else:
@@ -361,16 +380,16 @@
                 id,
                 True,
                 kept,
-                SOON_MS,
+                CLAIM_TIMEOUT_MS,
                 attempt.until_ms,
-                lambda verdict, work: self._intended(attempt, verdict, work),
+                lambda verdict, work: self._on_prepared(attempt, verdict, work),
             )
 
-    def _intended(self, attempt: Attempt, verdict: Verdict, work: Work | None) -> None:
+    def _on_prepared(self, attempt: Attempt, verdict: Verdict, work: Work | None) -> None:
         request = attempt.request
         if request.attempt is not attempt or request.state is not State.OPEN:
             return
-        kept = None if work is None else read(work)
+        kept = None if work is None else decode(work)
         if verdict is Verdict.NEW:
             self.router.send(attempt)
         elif verdict is Verdict.TAKEN_OVER and kept is not None:
@@ -380,85 +399,89 @@
             finally:
                 self._adopting = False
         elif verdict is Verdict.UNREPLICATED and self.site.serve:
-            self.note(self.unkept, self._id(request))
+            self.remember(self.served_unreplicated, self._record_id(request))
             self.router.send(attempt)
         else:
             self.router.conclude_unsent(request, failed=verdict in (Verdict.FINAL, Verdict.TAKEN_OVER))
 
-    def _copied(self, request: Request, verdict: Verdict, work: Work | None) -> None:
+    def _on_claimed(self, request: Request, verdict: Verdict, work: Work | None) -> None:
         """Repeatable work, or a session that came here standing, is this router's by now."""
-        id = self._id(request)
+        id = self._record_id(request)
         if verdict not in (Verdict.NEW, Verdict.TAKEN_OVER) or work is None:
             return
-        kept = read(work)
+        kept = decode(work)
         if (
             kept is not None
             and kept.server >= 0
             and kept.server != request.server
-            and kept.name == request.set_up.session_id
+            and kept.session_id == request.set_up.session_id
             and (request.attempt is None or request.attempt.server != kept.server)
         ):
-            self.wires[id[0]].let_go(kept)  # what an earlier owner had under way
+            self.adapters[id[0]].release_leftover(kept)  # what an earlier owner had under way
         if request.state is State.ESTABLISHED:
-            self._update(id, Phase.STANDS, self._kept(request, request.server))
+            self._update(id, Phase.STANDS, self._session_of(request, request.server))
         elif request.state is State.OVER:
-            self._update(id, Phase.OVER, self._kept(request, None))
+            self._update(id, Phase.OVER, self._session_of(request, None))
 
     def may_write(self, attempt: Attempt) -> bool:
-        request, id = attempt.request, self._id(attempt.request)
-        if not self._paid(request):
+        request, id = attempt.request, self._record_id(attempt.request)
+        if not self._is_paid(request):
             return True
-        return self.core.may_act(id, self.clock.now()) or id not in self.core.owned and id in self.unkept
+        return (
+            self.core.may_act(id, self.clock.now())
+            or id not in self.core.owned
+            and id in self.served_unreplicated
+        )
 
     def may_establish(self, attempt: Attempt, answer: bytes) -> bool:
-        request, id = attempt.request, self._id(attempt.request)
-        if not self._paid(request) or id not in self.core.owned or self.core.may_act(id, self.clock.now()):
+        request, id = attempt.request, self._record_id(attempt.request)
+        if not self._is_paid(request) or id not in self.core.owned or self.core.may_act(id, self.clock.now()):
             return True
-        if len(self._answers) < PENDING_MOST:
-            self._answers[id] = attempt, answer
+        if len(self._unconfirmed_answers) < MAX_PENDING:
+            self._unconfirmed_answers[id] = attempt, answer
         return False
 
     def established(self, request: Request, answer: bytes) -> None:
-        id, kept = self._id(request), self._kept(request, request.server, answer)
+        id, kept = self._record_id(request), self._session_of(request, request.server, answer)
         if id not in self.core.owned:
             request.client.served(answer)
-            if id not in self.core.acquisitions and id not in self._fresh:
-                self._copy(request)
+            if id not in self.core.acquisitions and id not in self._unclaimed:
+                self._claim_deferrable(request)
             return
-        if not self._paid(request) or len(self._telling) >= PENDING_MOST:
+        if not self._is_paid(request) or len(self._unreplicated_answers) >= MAX_PENDING:
             self._update(id, Phase.STANDS, kept)
             request.client.served(answer)
             return
-        self._telling[id] = request, answer
-        self.deadlines.after(KEPT_MS, lambda: self._tell(id, request))
+        self._unreplicated_answers[id] = request, answer
+        self.deadlines.after(MAX_ANSWER_DELAY_MS, lambda: self._send_answer(id, request))
         self._update(id, Phase.STANDS, kept)
 
-    def _copy(self, request: Request) -> None:
+    def _claim_deferrable(self, request: Request) -> None:
         server = request.server if request.attempt is None else request.attempt.server
         self.claim(
-            self._id(request),
-            self._paid(request),
-            self._kept(request, server),
-            SOON_MS,
-            self.clock.now() + SOON_MS,
-            lambda verdict, work: self._copied(request, verdict, work),
-            soon=True,
+            self._record_id(request),
+            self._is_paid(request),
+            self._session_of(request, server),
+            CLAIM_TIMEOUT_MS,
+            self.clock.now() + CLAIM_TIMEOUT_MS,
+            lambda verdict, work: self._on_claimed(request, verdict, work),
+            deferrable=True,
         )
 
-    def _tell(self, id: str, only: Request | None = None) -> None:
-        told = self._telling.get(id)
+    def _send_answer(self, id: str, only: Request | None = None) -> None:
+        told = self._unreplicated_answers.get(id)
         if told is not None and only in (None, told[0]):
-            del self._telling[id]
+            del self._unreplicated_answers[id]
             told[0].client.served(told[1])
 
     def adopted(self, request: Request) -> None:
         if not self._adopting:
-            self._copy(request)
+            self._claim_deferrable(request)
 
     def rung_changed(self, request: Request) -> None:
-        id = self._id(request)
+        id = self._record_id(request)
         held = self.core.owned.get(id)
-        kept = None if held is None else read(held.work)
+        kept = None if held is None else decode(held.work)
         if kept is not None:
             kept.rung = request.rung
             self._update(id, Phase.STANDS, kept)
@@ -466,52 +489,52 @@
     def ended(self, request: Request) -> None:
         if self._adopting:
             return
-        id = self._id(request)
-        self._tell(id, request)
-        self._answers.pop(id, None)
-        self._fresh.pop(id, None)
+        id = self._record_id(request)
+        self._send_answer(id, request)
+        self._unconfirmed_answers.pop(id, None)
+        self._unclaimed.pop(id, None)
         held = self.core.owned.get(id)
-        self._sure = request, held is None or self.core.may_act(id, self.clock.now())
+        self._last_ended = request, held is None or self.core.may_act(id, self.clock.now())
         if held is None or held.hand_over_to:
             return
-        if request.server is None and self._paid(request) and request.may_have_run:
+        if request.server is None and self._is_paid(request) and request.may_have_run:
             phase = Phase.FAILED
-        elif request.set_up.record_id and not (request.server is not None and self._paid(request)):
+        elif request.set_up.record_id and not (request.server is not None and self._is_paid(request)):
             phase = Phase.INTENT  # the play stays, and may be set up again
         else:
             phase = Phase.OVER
-        self._update(id, phase, self._kept(request, request.server if phase is Phase.FAILED else None))
+        self._update(id, phase, self._session_of(request, request.server if phase is Phase.FAILED else None))
 
     def release(self, request: Request, cause: Cause) -> None:
         """Guards a successor's session: this router may have slept, or be cut off, and not know of it."""
-        about, sure = self._sure
+        about, sure = self._last_ended
         if about is request and sure:
             request.servers.release(request, cause)
             return
-        self._releases[self._id(request)] = request, cause
-        evict_oldest(self._releases, PENDING_MOST)
+        self._unconfirmed_releases[self._record_id(request)] = request, cause
+        evict_oldest(self._unconfirmed_releases, MAX_PENDING)
 
-    def _released(self, id: str) -> None:
-        told = self._releases.pop(id, None)
+    def _send_release(self, id: str) -> None:
+        told = self._unconfirmed_releases.pop(id, None)
         if told is not None:
             told[0].servers.release(*told)
 
     # Taking and giving
 
-    def _took(self, id: str, work: Work, found: Work | None) -> None:
-        wire = self.wires.get(id[0])
+    def _on_acquired(self, id: str, work: Work, found: Work | None) -> None:
+        wire = self.adapters.get(id[0])
         if (
             found is not None
             and found.phase is Phase.INTENT
             and found.owner != work.owner
             or work.phase is Phase.DOOMED
         ):
-            left = read(work if found is None or found.phase is not Phase.INTENT else found)
+            left = decode(work if found is None or found.phase is not Phase.INTENT else found)
             if left is not None and left.server >= 0 and wire is not None:
-                wire.let_go(left)
+                wire.release_leftover(left)
         why = ""
         if work.phase is Phase.STANDS:
-            kept = read(work)
+            kept = decode(work)
             if wire is None:
                 why = "this router has no such front"
             elif kept is None:
@@ -528,41 +551,43 @@
             work.phase is Phase.INTENT
             and not work.paid
             and id not in self.core.acquisitions
-            and (wire is None or not wire.wanted(id))
+            and (wire is None or not wire.has_client(id))
         )
         if why or abandoned:
             self._act(self.core.update(self.clock.now(), id, Phase.OVER, work.body))
 
-    def carry(self, ask: SetUpRequest, kept: Kept, viewer: ClientPort, boxes: ServerPort) -> Request | None:
+    def adopt_session(
+        self, set_up: SetUpRequest, session: ReplicatedSession, client: ClientPort, servers: ServerPort
+    ) -> Request | None:
         """For fronts that adopt: the session goes into the core, without a claim of its own."""
-        if kept.class_name not in self.router.classes:
+        if session.class_name not in self.router.classes:
             return None
         self._adopting = True
         try:
-            request = self.router.adopt(ask, kept.server, viewer, boxes)
+            request = self.router.adopt(set_up, session.server, client, servers)
         finally:
             self._adopting = False
         if request is not None:
-            request.rung = kept.rung
+            request.rung = session.rung
         return request
 
-    def _lost(self, id: str, over: bool) -> None:
-        self._releases.pop(id, None)
-        self._answers.pop(id, None)
-        wire = self.wires.get(id[0])
-        request = None if wire is None else wire.held(id)
+    def _on_ownership_lost(self, id: str, over: bool) -> None:
+        self._unconfirmed_releases.pop(id, None)
+        self._unconfirmed_answers.pop(id, None)
+        wire = self.adapters.get(id[0])
+        request = None if wire is None else wire.request_of(id)
         if request is not None:
-            self._tell(id, request)  # what waits to be told of it is answered from here still
-            self.note(self.handed, request.set_up.session_id)
+            self._send_answer(id, request)  # what waits to be told of it is answered from here still
+            self.remember(self.handed_over, request.set_up.session_id)
         if wire is not None:
-            wire.lost(id)
+            wire.ownership_lost(id)
         if request is not None:
             server = request.server
             self.router.hand_over(request)
             if over and server is not None and wire is not None:
-                wire.let_go(self._kept(request, server))
+                wire.release_leftover(self._session_of(request, server))
 
     @staticmethod
-    def note(table: OrderedDict[str, None], name: str) -> None:
+    def remember(table: OrderedDict[str, None], name: str) -> None:
         table[name] = None
-        evict_oldest(table, HANDED_MOST)
+        evict_oldest(table, MAX_REMEMBERED)
--- a/cloverhinge/ownership/core.py
+++ b/cloverhinge/ownership/core.py
@@ -41,8 +41,7 @@
 from cloverhinge.ownership.replica import Replica, next_ballot, prepared_record
 from cloverhinge.ownership.replica_sets import ReplicaSetManager
 from cloverhinge.ownership.wire import Member, RefusalReason, ReplicaSet, name_of
-from cloverhinge.store import NO_MARK, Mark
-from cloverhinge.store import Word as JudgeWord
+from cloverhinge.store import NO_MARK, Mark, StoreVerdict
 
 TICK_MS = 25.0  # interval between calls of `tick`; lost messages are sent again after two of them
 # The share of a granted lease that its owner relies on: safe while clocks drift apart by less than a tenth.
@@ -480,22 +479,22 @@
             return
         judge = self.persistence.judge
         for member_id in self.alive:
-            if member_id != self.own_id and name_of(member_id) not in judge.words:
+            if member_id != self.own_id and name_of(member_id) not in judge.answers:
                 self._send_item(member_id, claim)
-        if judge.word is not JudgeWord.WAITING:
-            self._conclude_store_check(now, judge.word)
+        if judge.verdict is not StoreVerdict.WAITING:
+            self._conclude_store_check(now, judge.verdict)
 
     def _on_store_claim_answer(self, now: float, name: str, answer: wire.StoreClaimAnswer) -> None:
         if self.persistence is None:
             return
         verdict = self.persistence.on_claim_answer(name, answer)
-        if verdict is not JudgeWord.WAITING:
+        if verdict is not StoreVerdict.WAITING:
             self._conclude_store_check(now, verdict, name)
 
-    def _conclude_store_check(self, now: float, verdict: JudgeWord, by: str = "") -> None:
+    def _conclude_store_check(self, now: float, verdict: StoreVerdict, by: str = "") -> None:
         """Loads the restored state where the store proved to be whole, or discards it."""
         assert self.persistence is not None
-        restored = self.persistence.conclude(verdict is JudgeWord.WHOLE)
+        restored = self.persistence.conclude(verdict is StoreVerdict.WHOLE)
         self.replica_sets.vote_suspended = False
         if restored is not None:
             self.replica.load(now, restored.slots)
--- a/cloverhinge/ownership/persistence.py
+++ b/cloverhinge/ownership/persistence.py
@@ -16,7 +16,7 @@
 from cloverhinge.ownership import wire
 from cloverhinge.ownership.register import NO_BALLOT, Ballot, Slot, Work
 from cloverhinge.ownership.wire import Member, ReplicaSet
-from cloverhinge.store import NO_MARK, Judge, Mark, Witness, Word
+from cloverhinge.store import NO_MARK, Judge, Mark, StoreVerdict, Witness
 
 if TYPE_CHECKING:
     from cloverhinge.ownership.replica import Replica
@@ -149,7 +149,7 @@
         made = cls(own, mark, runs=(own.member_id,))
         restored = decode_rows(rows)
         for name, latest in restored.marks.items():
-            made.witness.heard[name] = latest
+            made.witness.latest_marks[name] = latest
         replica_set = restored.vote_state.replica_set
         if (
             claim != NO_MARK
@@ -164,7 +164,7 @@
 
     def _discard_earlier(self) -> None:
         self._void = True
-        self.witness.changed.update(self.witness.heard)
+        self.witness.changed.update(self.witness.latest_marks)
 
     @classmethod
     def unusable(cls, own: Member, reason: str) -> ReplicaPersistence:
@@ -232,7 +232,7 @@
         if self.witness.changed and now - self._marks_written_ms >= MARK_INTERVAL_MS:
             self._marks_written_ms = now
             for name in self.witness.changed:
-                mark = self.witness.heard.get(name)
+                mark = self.witness.latest_marks.get(name)
                 rows[MARK_PREFIX + name] = None if mark is None else msgspec.msgpack.encode(mark)
             self.witness.changed.clear()
         if not rows and not self._void and self._above == NO_MARK:
@@ -269,18 +269,18 @@
         """Compares another router's claim with the latest mark received from it."""
         mark = Mark(claim.generation, claim.position)
         return wire.StoreClaimAnswer(
-            *mark, self.witness.allows(name, mark), *self.witness.heard.get(name, NO_MARK)
+            *mark, self.witness.allows(name, mark), *self.witness.latest_marks.get(name, NO_MARK)
         )
 
-    def on_claim_answer(self, name: str, answer: wire.StoreClaimAnswer) -> Word:
+    def on_claim_answer(self, name: str, answer: wire.StoreClaimAnswer) -> StoreVerdict:
         """Takes another router's answer on this store; returns the verdict so far."""
         if self.judge is None:
             self._above = max(self._above, Mark(answer.heard_generation, answer.heard_position))
-            return Word.WAITING
-        self.judge.heard(name, Mark(answer.generation, answer.position), answer.allows)
-        if self.judge.word is Word.BEHIND:
+            return StoreVerdict.WAITING
+        self.judge.add_answer(name, Mark(answer.generation, answer.position), answer.allows)
+        if self.judge.verdict is StoreVerdict.BEHIND:
             self._above = max(self._above, Mark(answer.heard_generation, answer.heard_position))
-        return self.judge.word
+        return self.judge.verdict
 
     def conclude(self, whole: bool) -> RestoredState | None:
         """Ends the check; returns the restored state where the store is whole, else None."""
@@ -299,7 +299,7 @@
         """Takes a mark that came with a message; returns an answer where a later generation's is known."""
         if mark == NO_MARK:
             return None
-        latest = self.witness.heard.get(name, NO_MARK)
+        latest = self.witness.latest_marks.get(name, NO_MARK)
         if mark.generation < latest.generation:
             return wire.StoreClaimAnswer(*mark, False, *latest)
         self.witness.note(name, mark)
--- a/cloverhinge/ownership/replica_store.py
+++ b/cloverhinge/ownership/replica_store.py
@@ -11,11 +11,11 @@
 from cloverhinge.ownership.persistence import Persist, ReplicaPersistence, StoreState
 from cloverhinge.ownership.wire import Member
 from cloverhinge.store import Mark
-from cloverhinge.store.folder import Folder, Unusable
+from cloverhinge.store.folder import Folder, UnusableStoreError
 from cloverhinge.store.writer import Writer
 
 
-class Shelf:
+class ReplicaStore:
     """`done` and `failed` are called in the program's own thread, by `call`.
 
     A folder that can't be used is one plain line in the log, and this router keeps nothing for others.
@@ -27,25 +27,25 @@
         self,
         path: Path,
         own: Member,
-        call: Callable[..., Any],
-        done: Callable[[int, Mark], None],
-        failed: Callable[[str], None],
+        call_in_main_thread: Callable[..., Any],
+        on_durable: Callable[[int, Mark], None],
+        on_failure: Callable[[str], None],
     ) -> None:
-        self.path, self.own, self.call = path, own, call
-        self.done, self.failed = done, failed
+        self.path, self.own, self.call_in_main_thread = path, own, call_in_main_thread
+        self.on_durable, self.on_failure = on_durable, on_failure
         self.folder = Folder(path, own.name)
         self.writer: Writer | None = None
         self.commits, self.slowest_ms, self.last_ms = 0, 0.0, 0.0
-        self.recall = self._open()
+        self.persistence = self._open()
 
     def _open(self) -> ReplicaPersistence:
         try:
             told = self.folder.open()
-        except Unusable as error:
+        except UnusableStoreError as error:
             self.log.error("{name}: store: {why}", name=self.own.name, why=str(error))
             return ReplicaPersistence.unusable(self.own, str(error))
-        if told.void:
-            self.log.error("{name}: store: {why}", name=self.own.name, why=told.void)
+        if told.void_reason:
+            self.log.error("{name}: store: {why}", name=self.own.name, why=told.void_reason)
         try:
             recall = ReplicaPersistence.from_folder(self.own, told.claim, told.mark, told.rows)
         except ValueError as error:
@@ -60,27 +60,27 @@
             generation=told.mark.generation,
             rows=len(told.rows),
         )
-        self.writer = Writer(self.folder, self.call, self._done, self.failed)
+        self.writer = Writer(self.folder, self.call_in_main_thread, self._on_commit, self.on_failure)
         return recall
 
     def put(self, rows: Persist) -> None:
         if self.writer is not None:
             self.writer.put(rows.number, rows.rows, rows.void, rows.above)
 
-    def _done(self, number: int, mark: Mark, took_ms: float) -> None:
+    def _on_commit(self, number: int, mark: Mark, took_ms: float) -> None:
         self.commits += 1
         self.last_ms, self.slowest_ms = took_ms, max(self.slowest_ms, took_ms)
-        self.done(number, mark)
+        self.on_durable(number, mark)
 
     def status(self) -> dict[str, Any]:
-        recall = self.recall
+        recall = self.persistence
         return {
             "state": recall.state.name.lower(),
             "why": recall.unusable_reason,
             "folder": str(self.path),
             "generation": recall.mark.generation,
             "position": recall.mark.position,
-            "rows": self.folder.rows,
+            "rows": self.folder.row_count,
             "waiting": recall.last_number - recall.durable_number,
             "commits": self.commits,
             "last_ms": round(self.last_ms, 1),
@@ -89,11 +89,11 @@
         }
 
     def _waits_for(self) -> str:
-        judge = self.recall.judge
-        if self.recall.state is not StoreState.JUDGING or judge is None:
+        judge = self.persistence.judge
+        if self.persistence.state is not StoreState.JUDGING or judge is None:
             return ""
-        silent = ", ".join(sorted(judge.names - judge.words.keys() - {judge.own}))
-        return f"the word of {judge.lacking} of {silent}"
+        silent = ", ".join(sorted(judge.names - judge.answers.keys() - {judge.own_name}))
+        return f"the word of {judge.missing_answers} of {silent}"
 
     def close(self) -> None:
         if self.writer is not None:
--- a/cloverhinge/ownership/wire.py
+++ b/cloverhinge/ownership/wire.py
@@ -34,8 +34,8 @@
         return f"{self.name}#{self.run:x}"
 
 
-def name_of(who: str) -> str:
-    return who.partition("#")[0]
+def name_of(member_id: str) -> str:
+    return member_id.partition("#")[0]
 
 
 Members = Annotated[tuple[Member, ...], Meta(max_length=MAX_MEMBERS)]
--- a/cloverhinge/rtsp/replicated_sessions.py
+++ b/cloverhinge/rtsp/replicated_sessions.py
@@ -4,50 +4,51 @@
 
 from cloverhinge.core.model import Request
 from cloverhinge.core.router import Router
-from cloverhinge.ownership.component import BY_NAME as LETTER
-from cloverhinge.ownership.component import Part
-from cloverhinge.ownership.replicated_work import Kept, read
+from cloverhinge.ownership.component import SESSION_PREFIX, OwnershipComponent
+from cloverhinge.ownership.replicated_work import ReplicatedSession, decode
 from cloverhinge.rtsp.client import RtspClient
 from cloverhinge.rtsp.front import Front
 from cloverhinge.rtsp.media_servers import MediaServers
 
 
-class KeptSessions:
+class ReplicatedSessions:
     """The front's side of custody."""
 
-    def __init__(self, part: Part, router: Router, front: Front, servers: MediaServers) -> None:
-        self.part, self.router, self.front, self.servers = part, router, front, servers
-        servers.handed_on = part.handed.__contains__
-        front.kept_answer = self.answer
-        part.serve(LETTER, self)
-
-    def answer(self, name: str) -> bytes:
-        work = self.part.core.known_work(f"{LETTER}/{name}")
-        kept = None if work is None else read(work)
+    def __init__(
+        self, ownership: OwnershipComponent, router: Router, front: Front, servers: MediaServers
+    ) -> None:
+        self.ownership, self.router, self.front, self.servers = ownership, router, front, servers
+        servers.handed_on = ownership.handed_over.__contains__
+        front.kept_answer = self.replicated_answer
+        ownership.add_front(SESSION_PREFIX, self)
+
+    def replicated_answer(self, name: str) -> bytes:
+        work = self.ownership.core.known_work(f"{SESSION_PREFIX}/{name}")
+        kept = None if work is None else decode(work)
         return b"" if kept is None else kept.answer
 
-    def own_name(self, text: str) -> str:
+    def record_name(self, text: str) -> str:
         return text
 
-    def held(self, id: str) -> Request | None:
+    def request_of(self, id: str) -> Request | None:
         return self.router.by_session_id.get(id[2:])
 
-    def wanted(self, id: str) -> bool:
+    def has_client(self, id: str) -> bool:
         return id[2:] in self.router.by_session_id
 
-    def adopt(self, id: str, kept: Kept) -> bool:
-        if kept.name in self.router.by_session_id:
+    def adopt(self, id: str, session: ReplicatedSession) -> bool:
+        if session.session_id in self.router.by_session_id:
             return True  # it is here, or its viewer is, and is told of it
-        viewer = RtspClient(self.front, 0, kept.peer, kept.name)
-        request = self.part.carry(kept.ask(), kept, viewer, self.servers)
+        viewer = RtspClient(self.front, 0, session.peer_address, session.session_id)
+        request = self.ownership.adopt_session(session.set_up_request(), session, viewer, self.servers)
         if request is not None:
             viewer.stands(True)
         return request is not None
 
-    def lost(self, id: str) -> None:
+    def ownership_lost(self, id: str) -> None:
         """Its viewer is told nothing: the session goes on."""
 
-    def let_go(self, kept: Kept) -> None:
+    def release_leftover(self, session: ReplicatedSession) -> None:
         """Not while a viewer of that very session is here: its set-up has the same name."""
-        if kept.name not in self.router.by_session_id:
-            self.servers.let_go(kept.server, kept.name)
+        if session.session_id not in self.router.by_session_id:
+            self.servers.let_go(session.server, session.session_id)
--- a/cloverhinge/store/__init__.py
+++ b/cloverhinge/store/__init__.py
@@ -4,6 +4,6 @@
 This face is pure; whoever opens a folder takes `store.folder` and `store.writer`, which need apsw.
 """
 
-from cloverhinge.store.proof import NO_MARK, Judge, Mark, Witness, Word
+from cloverhinge.store.proof import NO_MARK, Judge, Mark, StoreVerdict, Witness
 
-__all__ = ["NO_MARK", "Judge", "Mark", "Witness", "Word"]
+__all__ = ["NO_MARK", "Judge", "Mark", "Witness", "StoreVerdict"]
--- a/cloverhinge/store/proof.py
+++ b/cloverhinge/store/proof.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-NAMES_MOST = 1024  # whose marks are remembered, the latest heard: eight times the routers that a roster holds
+MAX_NAMES = 1024  # whose marks are remembered, the latest heard: eight times the routers that a roster holds
 
 
 class Mark(NamedTuple):
@@ -28,24 +28,24 @@
     """The latest mark that was heard of each name."""
 
     def __init__(self) -> None:
-        self.heard: OrderedDict[str, Mark] = OrderedDict()
+        self.latest_marks: OrderedDict[str, Mark] = OrderedDict()
         self.changed: set[str] = set()  # since this was last looked at
 
     def note(self, name: str, mark: Mark) -> None:
-        if mark > self.heard.get(name, NO_MARK):
-            self.heard[name] = mark
-            self.heard.move_to_end(name)
+        if mark > self.latest_marks.get(name, NO_MARK):
+            self.latest_marks[name] = mark
+            self.latest_marks.move_to_end(name)
             self.changed.add(name)
-            while len(self.heard) > NAMES_MOST:
-                gone, _ = self.heard.popitem(last=False)
+            while len(self.latest_marks) > MAX_NAMES:
+                gone, _ = self.latest_marks.popitem(last=False)
                 self.changed.add(gone)
 
     def allows(self, name: str, claim: Mark) -> bool:
         """Whether nothing later than the claim was heard.  A new life of an emptied store begins above it."""
-        return self.heard.get(name, NO_MARK) <= claim
+        return self.latest_marks.get(name, NO_MARK) <= claim
 
 
-class Word(Enum):
+class StoreVerdict(Enum):
     WAITING = "waiting"
     WHOLE = "whole"
     BEHIND = "behind"
@@ -55,21 +55,21 @@
     """Collects the words of those who may have heard this store's router: `names`, itself among them."""
 
     def __init__(self, own: str, claim: Mark, names: Iterable[str]) -> None:
-        self.own, self.claim, self.names = own, claim, frozenset(names)
-        self.words: dict[str, bool] = {}
+        self.own_name, self.claim, self.names = own, claim, frozenset(names)
+        self.answers: dict[str, bool] = {}
 
-    def heard(self, name: str, claim: Mark, allows: bool) -> None:
+    def add_answer(self, name: str, claim: Mark, allows: bool) -> None:
         """Words on another claim are an earlier run's."""
-        if claim == self.claim and name in self.names and name != self.own:
-            self.words[name] = self.words.get(name, True) and allows
+        if claim == self.claim and name in self.names and name != self.own_name:
+            self.answers[name] = self.answers.get(name, True) and allows
 
     @property
-    def lacking(self) -> int:
+    def missing_answers(self) -> int:
         """Words still needed: with this router itself, more than half of the names."""
-        return max(0, len(self.names) // 2 - len(self.words))
+        return max(0, len(self.names) // 2 - len(self.answers))
 
     @property
-    def word(self) -> Word:
-        if not all(self.words.values()):
-            return Word.BEHIND
-        return Word.WAITING if self.lacking else Word.WHOLE
+    def verdict(self) -> StoreVerdict:
+        if not all(self.answers.values()):
+            return StoreVerdict.BEHIND
+        return StoreVerdict.WAITING if self.missing_answers else StoreVerdict.WHOLE
--- a/cloverhinge/store/writer.py
+++ b/cloverhinge/store/writer.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from cloverhinge.store.folder import Folder, Unusable
+from cloverhinge.store.folder import Folder, UnusableStoreError
 from cloverhinge.store.proof import NO_MARK, Mark
 from cloverhinge.store.rows import Rows
 
-WAITING_MOST = 65_536  # rows; a disk that is so far behind has failed
+MAX_WAITING_ROWS = 65_536  # rows; a disk that is so far behind has failed
 
 
 class Writer:
@@ -21,60 +21,67 @@
     def __init__(
         self,
         folder: Folder,
-        call: Callable[..., Any],
-        done: Callable[[int, Mark, float], None],
-        failed: Callable[[str], None],
+        call_in_main_thread: Callable[..., Any],
+        on_commit: Callable[[int, Mark, float], None],
+        on_failure: Callable[[str], None],
     ) -> None:
-        self.folder, self.call, self.done, self.failed = folder, call, done, failed
-        self._more = threading.Condition()
+        self.folder, self.call_in_main_thread, self.on_commit, self.on_failure = (
+            folder,
+            call_in_main_thread,
+            on_commit,
+            on_failure,
+        )
+        self._condition = threading.Condition()
         self._rows: dict[str, bytes | None] = {}
         self._number = 0
         self._above = NO_MARK
-        self._void = self._ending = self._late = False
+        self._clear_first = self._closing = self._overloaded = False
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
-    def put(self, number: int, rows: Rows, void: bool = False, above: Mark = NO_MARK) -> None:
+    def put(self, number: int, rows: Rows, clear: bool = False, above: Mark = NO_MARK) -> None:
         """`number` grows from call to call.  `void`: the folder is emptied first; `above`: its marks are to
         be above that one from now on."""
-        with self._more:
-            if void:
-                self._rows, self._void = {}, True
-            if len(self._rows) + len(rows) > WAITING_MOST:
-                self._late, self._rows = True, {}
-            if not self._late:
+        with self._condition:
+            if clear:
+                self._rows, self._clear_first = {}, True
+            if len(self._rows) + len(rows) > MAX_WAITING_ROWS:
+                self._overloaded, self._rows = True, {}
+            if not self._overloaded:
                 self._rows.update(rows)
             self._above = max(self._above, above)
             self._number = number
-            self._more.notify()
+            self._condition.notify()
 
     def close(self) -> None:
         """Commits what is left, then gives the folder free."""
-        with self._more:
-            self._ending = True
-            self._more.notify()
+        with self._condition:
+            self._closing = True
+            self._condition.notify()
         self._thread.join()
         self.folder.close()
 
     def _run(self) -> None:
         told = 0
         while True:
-            with self._more:
-                while self._number == told and not self._ending:
-                    self._more.wait()
-                rows, number, void, above = self._rows, self._number, self._void, self._above
-                self._rows, self._void, self._above = {}, False, NO_MARK
+            with self._condition:
+                while self._number == told and not self._closing:
+                    self._condition.wait()
+                rows, number, void, above = self._rows, self._number, self._clear_first, self._above
+                self._rows, self._clear_first, self._above = {}, False, NO_MARK
                 if number == told:
                     return
             begun = time.monotonic()
             try:
-                if self._late:
-                    raise Unusable(f"{self.folder.path}: {WAITING_MOST} rows wait, the disk is too slow")
+                if self._overloaded:
+                    raise UnusableStoreError(
+                        f"{self.folder.path}: {MAX_WAITING_ROWS} rows wait, the disk is too slow"
+                    )
                 if void:
-                    self.folder.void()
+                    self.folder.clear()
                 mark = self.folder.commit(rows, above)
-            except Unusable as error:
-                self.call(self.failed, str(error))
+            except UnusableStoreError as error:
+                self.call_in_main_thread(self.on_failure, str(error))
                 return
             told = number
-            self.call(self.done, number, mark, 1000.0 * (time.monotonic() - begun))
+            self.call_in_main_thread(self.on_commit, number, mark, 1000.0 * (time.monotonic() - begun))
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -131,7 +131,7 @@
 
 
 def releases_at_once() -> None:
-    component.Part.release = (  # type: ignore[method-assign]
+    component.OwnershipComponent.release = (  # type: ignore[method-assign]
         lambda self, request, cause: request.servers.release(request, cause)
     )
 
--- a/tests/store_guards.py
+++ b/tests/store_guards.py
@@ -18,7 +18,7 @@
 
 
 def believes_itself() -> None:
-    proof.Judge.lacking = property(lambda self: 0)  # type: ignore[assignment,method-assign]
+    proof.Judge.missing_answers = property(lambda self: 0)  # type: ignore[assignment,method-assign]
 
 
 def believes_any() -> None:
@@ -37,8 +37,8 @@
 
 
 def no_sum() -> None:
-    form.total = lambda checks: 0
-    form.changed = _unsummed(form.changed)
+    form.total_checksum = lambda checks: 0
+    form.apply_changes = _unsummed(form.apply_changes)
 
 
 def _unsummed(changed: Callable[..., Any]) -> Callable[..., Any]:
@@ -46,13 +46,13 @@
 
     def call(head: Any, held: Any, rows: Any) -> Any:
         after, checks = changed(head, held, rows)
-        return msgspec.structs.replace(after, sum=0), checks
+        return msgspec.structs.replace(after, checksum=0), checks
 
     return call
 
 
 def any_owner() -> None:
-    Folder._believed = lambda self, head: head  # type: ignore[method-assign]
+    Folder._check_head = lambda self, head: head  # type: ignore[method-assign]
 
 
 def any_file() -> None:
@@ -63,7 +63,7 @@
 
         try:
             found = os.stat(self.path / "store.sqlite")
-            self._file = found.st_dev, found.st_ino
+            self._file_identity = found.st_dev, found.st_ino
         except OSError:
             pass
         return commit(self, rows, above)
--- a/tests/test_lab_store.py
+++ b/tests/test_lab_store.py
@@ -100,7 +100,7 @@
         made.record.until(lambda: all(votes(made, x) for x in keeping), SOON_S, "all others vote")
         states = [store_of(x)["state"] for x in made.routers]
         assert states == ["forgot", "forgot", "out", "whole", "whole", "whole", "whole"], states
-        assert made[1].said("is behind what") and made[2].said("belongs to r3, not to r2")
+        assert made[1].said("is older than what") and made[2].said("belongs to r3, not to r2")
         for number in range(14):
             final(made, made[3], number)  # answered, and nothing set up twice
         assert final(made, made[2], 15, "free")[0] == 200  # a paid one may be unknown for a while
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,11 +16,11 @@
 from hypothesis import strategies as st
 
 from cloverhinge.ownership.persistence import StoreState
-from cloverhinge.ownership.replica_store import Shelf
+from cloverhinge.ownership.replica_store import ReplicaStore
 from cloverhinge.ownership.wire import Member
-from cloverhinge.store import NO_MARK, Judge, Mark, Witness, Word
+from cloverhinge.store import NO_MARK, Judge, Mark, StoreVerdict, Witness
 from cloverhinge.store import rows as form
-from cloverhinge.store.folder import FILE, Folder, Unusable
+from cloverhinge.store.folder import DATABASE_FILE, Folder, UnusableStoreError
 from cloverhinge.store.writer import Writer
 
 Row = dict[str, bytes | None]
@@ -45,7 +45,7 @@
     for _ in range(3):
         folder = Folder(tmp_path, "r0")
         told = folder.open()
-        assert told.rows == states[-1] and not told.void and told.claim < told.mark
+        assert told.rows == states[-1] and not told.void_reason and told.claim < told.mark
         marks.append(told.mark)
         folder.close()
     assert marks == sorted(set(marks)) and [x.generation for x in marks] == [2, 3, 4]
@@ -55,20 +55,20 @@
     filled(tmp_path)
     first = Folder(tmp_path, "r0")
     first.open()
-    with pytest.raises(Unusable, match="in use by another process"):
+    with pytest.raises(UnusableStoreError, match="in use by another process"):
         Folder(tmp_path, "r0").open()
     first.close()
-    with pytest.raises(Unusable, match="belongs to r0, not to r1"):
+    with pytest.raises(UnusableStoreError, match="belongs to r0, not to r1"):
         Folder(tmp_path, "r1").open()
-    body = msgspec.msgpack.encode((form.FORMAT + 1, "r0", 1, 1, 0, 0, "something new"))
-    newer = body + form.check("", body).to_bytes(8, "big")
-    base = apsw.Connection(str(tmp_path / FILE))
+    body = msgspec.msgpack.encode((form.FORMAT_VERSION + 1, "r0", 1, 1, 0, 0, "something new"))
+    newer = body + form.row_checksum("", body).to_bytes(8, "big")
+    base = apsw.Connection(str(tmp_path / DATABASE_FILE))
     base.execute("update head set value = ?", (newer,))
     base.close()
-    before = (tmp_path / FILE).read_bytes()
-    with pytest.raises(Unusable, match="version 2"):
+    before = (tmp_path / DATABASE_FILE).read_bytes()
+    with pytest.raises(UnusableStoreError, match="version 2"):
         Folder(tmp_path, "r0").open()
-    assert (tmp_path / FILE).read_bytes() == before  # nothing in it was touched
+    assert (tmp_path / DATABASE_FILE).read_bytes() == before  # nothing in it was touched
 
 
 class Unsynced(apsw.VFS):
@@ -94,25 +94,27 @@
 def test_a_flipped_bit_anywhere_is_never_believed(tmp_path: Path, unsynced: str, part: int) -> None:
     """Either nothing that is believed has changed, or the folder is void."""
     states = filled(tmp_path / "whole", 3)
-    told = (tmp_path / "whole" / FILE).read_bytes()
+    told = (tmp_path / "whole" / DATABASE_FILE).read_bytes()
     copy = tmp_path / "copy"
     copy.mkdir()
     void = 0
     for at in range(part, len(told), 8):
-        for name in (f"{FILE}-wal", f"{FILE}-shm"):
+        for name in (f"{DATABASE_FILE}-wal", f"{DATABASE_FILE}-shm"):
             (copy / name).unlink(missing_ok=True)
-        (copy / FILE).write_bytes(told[:at] + bytes([told[at] ^ 1 << at // 8 % 8]) + told[at + 1 :])
+        (copy / DATABASE_FILE).write_bytes(told[:at] + bytes([told[at] ^ 1 << at // 8 % 8]) + told[at + 1 :])
         folder = Folder(copy, "r0", unsynced)
         try:
             found = folder.open()
-        except Unusable as error:  # the head's check holds, so it can't be of another owner or version
+        except (
+            UnusableStoreError
+        ) as error:  # the head's check holds, so it can't be of another owner or version
             assert "can't be written" in str(error)
             continue
         finally:
             folder.close()
-        void += bool(found.void)
-        assert found.rows == ({} if found.void else states[-1]), (at, found)
-        assert found.claim == NO_MARK if found.void else found.claim != NO_MARK
+        void += bool(found.void_reason)
+        assert found.rows == ({} if found.void_reason else states[-1]), (at, found)
+        assert found.claim == NO_MARK if found.void_reason else found.claim != NO_MARK
     assert void > 30  # the rows' own bytes at least
 
 
@@ -125,16 +127,16 @@
     for number in range(4):
         held = {**held, f"s/{number}": b"v" * 20}
         states[folder.commit({f"s/{number}": b"v" * 20})] = held
-    wal = (tmp_path / "whole" / f"{FILE}-wal").read_bytes()
-    base = (tmp_path / "whole" / FILE).read_bytes()
+    wal = (tmp_path / "whole" / f"{DATABASE_FILE}-wal").read_bytes()
+    base = (tmp_path / "whole" / DATABASE_FILE).read_bytes()
     folder.close()
     seen = set()
     for cut in (*range(0, len(wal), 61), len(wal)):
         copy = tmp_path / "copy"
         shutil.rmtree(copy, ignore_errors=True)
         copy.mkdir()
-        (copy / FILE).write_bytes(base)
-        (copy / f"{FILE}-wal").write_bytes(wal[:cut])
+        (copy / DATABASE_FILE).write_bytes(base)
+        (copy / f"{DATABASE_FILE}-wal").write_bytes(wal[:cut])
         other = Folder(copy, "r0", unsynced)
         found = other.open()
         other.close()
@@ -187,9 +189,9 @@
                 folder.commit({f"s/{number}": b"v" * 30})
                 safe = number
             ended = 1
-        except Unusable as error:
+        except UnusableStoreError as error:
             assert "can't be written" in str(error), error
-            with pytest.raises(Unusable):
+            with pytest.raises(UnusableStoreError):
                 folder.commit({})
         finally:
             folder.close()
@@ -197,7 +199,7 @@
         again = Folder(path, "r0")
         found = again.open()
         again.close()
-        if not found.void:
+        if not found.void_reason:
             assert found.rows.keys() >= {f"s/{x}" for x in range(safe + 1)}, (fails, safe, found)
         else:
             assert safe < 0, (fails, found)
@@ -208,11 +210,11 @@
     folder = Folder(tmp_path / "here", "r0")
     folder.open()
     os.rename(tmp_path / "here", tmp_path / "gone")
-    with pytest.raises(Unusable, match="can't be written"):
+    with pytest.raises(UnusableStoreError, match="can't be written"):
         folder.commit({"a": b"b"})
     (tmp_path / "here").mkdir()
-    shutil.copy(tmp_path / "gone" / FILE, tmp_path / "here" / FILE)
-    with pytest.raises(Unusable, match="not the file that was opened"):
+    shutil.copy(tmp_path / "gone" / DATABASE_FILE, tmp_path / "here" / DATABASE_FILE)
+    with pytest.raises(UnusableStoreError, match="not the file that was opened"):
         folder.commit({"a": b"b"})
     folder.close()
 
@@ -262,8 +264,10 @@
     folder.open()
     folder.commit({"s/h/1": b"of another form"})
     folder.close()
-    shelf = Shelf(tmp_path, Member("r0", 1), lambda *about: None, lambda *about: None, lambda why: None)
-    assert shelf.recall.state is StoreState.OUT and "does not know" in shelf.recall.unusable_reason
+    shelf = ReplicaStore(
+        tmp_path, Member("r0", 1), lambda *about: None, lambda *about: None, lambda why: None
+    )
+    assert shelf.persistence.state is StoreState.OUT and "does not know" in shelf.persistence.unusable_reason
     assert shelf.writer is None and Folder(tmp_path, "r0").open().rows == {"s/h/1": b"of another form"}
 
 
@@ -289,25 +293,27 @@
     judge = Judge("r0", claim, names)
     counted: dict[int, bool] = {}
     for who, allows, late in words:
-        judge.heard(f"r{who}", Mark(1, 7) if late else claim, allows)
+        judge.add_answer(f"r{who}", Mark(1, 7) if late else claim, allows)
         if not late and 0 < who < count:
             counted[who] = counted.get(who, True) and allows
     if not all(counted.values()):
-        assert judge.word is Word.BEHIND
+        assert judge.verdict is StoreVerdict.BEHIND
     else:
-        assert (judge.word is Word.WHOLE) == (2 * (len(counted) + 1) > count)
+        assert (judge.verdict is StoreVerdict.WHOLE) == (2 * (len(counted) + 1) > count)
 
 
 @given(st.lists(st.dictionaries(st.sampled_from("abcd"), st.none() | st.binary(max_size=3)), max_size=9))
 def test_the_sum_follows_each_change(commits: list[Row]) -> None:
     head, held, checks = form.Head(1, "r0", 1, 0, 0, 0), dict[str, bytes](), dict[str, int]()
     for rows in commits:
-        head, after = form.changed(head, checks, rows)
+        head, after = form.apply_changes(head, checks, rows)
         for key, value in rows.items():
             if value is None:
                 held.pop(key, None)
             else:
                 held[key] = value
         checks = {x: y for x, y in {**checks, **after}.items() if y is not None}
-        assert head.sum == form.total(form.checks(held.items()).values()) and head.rows == len(held)
-    assert form.decode(form.encode(head)) == head
+        assert head.checksum == form.total_checksum(
+            form.row_checksums(held.items()).values()
+        ) and head.row_count == len(held)
+    assert form.decode_head(form.encode_head(head)) == head
