--- a/cloverhinge/hls/replicated_plays.py
+++ b/cloverhinge/hls/replicated_plays.py
@@ -1,4 +1,7 @@
-"""Plays as custody keeps them: `h/TOKEN`, the token made from the play id by a key that all routers have."""
+"""The HLS front's adapter for ownership; records of its plays are `h/TOKEN`.
+
+The token is made from the play id by a key that all routers share.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +20,14 @@
 from cloverhinge.site.model import HlsSite
 
 RECORD_PREFIX = "h"
-REPEATABLE_CLAIM_TIMEOUT_MS = 100.0  # for keepers to answer a repeatable claim, which is served without them
-SET_UP_RESERVE_MS = 600.0  # of a viewer's time that is left for the set-up
-FIND_TIMEOUT_MS = 3000.0  # for a playlist's session to be found: two leases
+REPEATABLE_CLAIM_TIMEOUT_MS = 100.0  # for replicas to answer a repeatable claim, which is served without them
+SET_UP_RESERVE_MS = 600.0  # of the class's deadline, left for the set-up after the claim
+FIND_TIMEOUT_MS = 3000.0  # for finding the session of a playlist's token: two leases
 TOKEN_LENGTH = 32  # characters
 
 
 class ReplicatedPlays:
-    """The plays' `Custody`, and the front's side of it."""
+    """Implements the plays' port to the ownership of their records, and `FrontAdapter` for the HLS front."""
 
     def __init__(self, ownership: OwnershipComponent, plays: Plays, servers: HlsBoxes, site: HlsSite) -> None:
         self.ownership, self.plays, self.servers, self.titles = ownership, plays, servers, site.titles
@@ -33,23 +36,27 @@
         longest = max((x.length_ms for x in site.titles.values()), default=0.0)
         ownership.add_front(RECORD_PREFIX, self, site.idle_ms + longest)
 
-    # The plays' `Custody`
+    # The plays' port
 
     def token(self, play_id: str) -> str:
+        """The play's token: the same at each router."""
         return hmac.new(self.token_key, play_id.encode(), hashlib.sha256).hexdigest()[:TOKEN_LENGTH]
 
     async def claim(self, play: Play) -> None:
-        part, id = self.ownership, f"{RECORD_PREFIX}/{play.token}"
-        held = part.core.owned.get(id)
-        if held is not None and not held.hand_over_to and held.work.phase is Phase.INTENT:
+        """Acquires the play's record before its set-up; raises the answer where it may not be set up here."""
+        ownership, id = self.ownership, f"{RECORD_PREFIX}/{play.token}"
+        record = ownership.core.owned.get(id)
+        if record is not None and not record.hand_over_to and record.work.phase is Phase.INTENT:
             return
-        if part.core.leaving:
+        if ownership.core.leaving:
             raise Final(503, "this router ends, another one serves", BUSY_MS)
         title = play.title
-        until = (
-            part.clock.now() + part.router.classes[play.class_name].deadline_us / 1000.0 - SET_UP_RESERVE_MS
+        deadline_ms = (
+            ownership.clock.now()
+            + ownership.router.classes[play.class_name].deadline_us / 1000.0
+            - SET_UP_RESERVE_MS
         )
-        kept = ReplicatedSession(
+        session = ReplicatedSession(
             play.class_name,
             play.title_name,
             play.key,
@@ -60,12 +67,12 @@
             peer_address=play.peer,
         )
         answer: Deferred[tuple[Verdict, Work | None]] = Deferred()
-        part.claim(
+        ownership.claim(
             id,
             play.paid,
-            kept,
+            session,
             CLAIM_TIMEOUT_MS if play.paid else REPEATABLE_CLAIM_TIMEOUT_MS,
-            until,
+            deadline_ms,
             lambda verdict, work: answer.callback((verdict, work)),
         )
         verdict, work = await answer
@@ -78,11 +85,12 @@
         if verdict is Verdict.OWNED_ELSEWHERE:
             raise Final(503, "another router has this play", BUSY_MS)
         if verdict is Verdict.UNREPLICATED:
-            if play.paid and not part.site.serve:
+            if play.paid and not ownership.site.serve:
                 raise Final(503, "it can't be kept by other routers now", BUSY_MS)
-            part.remember(part.served_unreplicated, id)
+            ownership.remember(ownership.served_unreplicated, id)
 
     async def find(self, token: str) -> None:
+        """Takes over the token's session, where one is established; raises the answer where it can't now."""
         if self.ownership.core.leaving or len(token) != TOKEN_LENGTH:
             return
         answer: Deferred[Verdict] = Deferred()
@@ -96,9 +104,10 @@
             raise Final(503, "another router has this session", BUSY_MS)
 
     def forgot(self, play: Play) -> None:
+        """The front has forgotten the play: its record is over."""
         self.ownership.end(f"{RECORD_PREFIX}/{play.token}")
 
-    # Custody's `Wire`
+    # The component's `FrontAdapter`
 
     def record_name(self, text: str) -> str:
         return self.token(text)
--- a/cloverhinge/ownership/__init__.py
+++ b/cloverhinge/ownership/__init__.py
@@ -1,5 +1,6 @@
-"""Work in hand that outlives its router: who owns each piece, who keeps copies, take-over once.
+"""Sessions that survive the failure of their router: ownership, replication, and take-over once.
 
-May use core/ and members/; the fronts reach it through `Part` and bring their own side as a `Wire`.  Must not
-know any front's protocol.  `component.py` is the thin module; all else is free of I/O.
+May use core/, members/ and store/; the fronts reach it through `OwnershipComponent` and provide a
+`FrontAdapter`.  Must not know any front's protocol.  `component.py` connects it to the rest of the router and
+`replica_store.py` opens the folder; all else is free of I/O.
 """
--- a/cloverhinge/ownership/component.py
+++ b/cloverhinge/ownership/component.py
@@ -1,6 +1,7 @@
-"""Custody's place in the router: the core's hooks, and messages by the members.  Decisions: core.py.
+"""Connects the ownership core to the router and the membership, and carries out its actions.
 
-A record's id is the letter of its front, `/`, and the front's own name for the piece of work.
+The decisions are in core.py.  A record's id is the prefix of its front, `/`, and the front's own name for the
+session or other work that the record describes.
 """
 
 from __future__ import annotations
@@ -35,44 +36,41 @@
 if TYPE_CHECKING:
     from cloverhinge.ownership.replica_store import ReplicaStore
 
-SESSION_PREFIX = "r"  # the letter of the front whose work goes by the session's name
-CLAIM_TIMEOUT_MS = (
-    500.0  # for keepers to answer a paid claim: ten times what was sent is sent again in that time
-)
-FLUSH_DELAY_MS = (
-    5.0  # copies that nobody waits for leave together: so long a killed router may take one with it
-)
-MAX_ANSWER_DELAY_MS = 250.0  # that a paid answer waits for the keepers to have it, at the most
-MEMBERS_UPDATE_MS = 1000.0  # between looks at the members' room
-MIN_RETENTION_MS = 60_000.0  # an answer that stays is kept for so long at least
-MAX_ANSWER_BYTES = 1024  # bytes of an RTSP answer that are kept; longer ones are told empty by a successor
-MAX_PENDING = 1024  # releases and answers that wait for certainty
-MAX_REMEMBERED = 4096  # names of sessions that went to others
+SESSION_PREFIX = "r"  # of records that are named by the session id: those of the RTSP front
+CLAIM_TIMEOUT_MS = 500.0  # for replicas to answer a paid claim: ten times the first interval of resending
+# Deferrable messages are sent together after this delay; a router that is killed within it loses them.
+FLUSH_DELAY_MS = 5.0
+MAX_ANSWER_DELAY_MS = 250.0  # how long a paid answer waits until its record is replicated, at most
+MEMBERS_UPDATE_MS = 1000.0  # between updates of the members' spare capacity
+MIN_RETENTION_MS = 60_000.0  # a final answer is stored for at least this time
+MAX_ANSWER_BYTES = 1024  # of a replicated RTSP answer; for a longer one, a successor's answer has no body
+MAX_PENDING = 1024  # releases, and answers, that wait until the ownership is confirmed
+MAX_REMEMBERED = 4096  # session names, or record ids, in each of the two tables of remembered ones
 
 
 class FrontAdapter(Protocol):
-    """One front's side: what it holds under its records' ids."""
+    """The port of one front, through which the component reaches the front's sessions by their record ids."""
 
     def record_name(self, text: str) -> str:
-        """The name within the id, for what people call it."""
+        """The name within the record's id, for the name that an operator uses."""
 
-    def adopt(self, id: str, kept: ReplicatedSession) -> bool:
-        """A session that stands goes on here, by `Part.carry`; False where it can't."""
+    def adopt(self, id: str, session: ReplicatedSession) -> bool:
+        """Continues an established session, by `OwnershipComponent.adopt_session`; False where it can't."""
 
-    def request_of(self, id: str) -> Request | None: ...
+    def request_of(self, id: str) -> Request | None: ...  # that is held here for the record, if there is one
 
     def has_client(self, id: str) -> bool:
-        """Whether a viewer of it is here."""
+        """Whether the viewer of the record is a client of this router."""
 
     def ownership_lost(self, id: str) -> None:
-        """Another router has it: forget it, and answer who waits."""
+        """Another router owns the record: forget it, and answer the clients that wait."""
 
-    def release_leftover(self, kept: ReplicatedSession) -> None:
-        """Tell the box to release what an earlier owner may have left there."""
+    def release_leftover(self, session: ReplicatedSession) -> None:
+        """Tell the media server to release what an earlier owner may have left there."""
 
 
 class OwnershipComponent:
-    """A part of the node, and the core's `Custody`."""
+    """A component of the node; the core reaches it as its `OwnershipPort`."""
 
     log = Logger()
     key = "custody"
@@ -87,7 +85,7 @@
         seed: int,
         store_folder: Path | None = None,
     ) -> None:
-        """`store`: the folder of what outlives a restart, where there is one."""
+        """`seed`: of all random draws; `store_folder`: of records that survive a restart; None: none do."""
         self.site, self.members, self.router, self.store_folder = site, members, router, store_folder
         self.replica_store: ReplicaStore | None = None
         self.clock, self.deadlines, self.seed = clock, deadlines, seed
@@ -96,34 +94,40 @@
         self.core: core.OwnershipCore
         self._last_call = 0
         self._calls: dict[int, Callable[[Verdict, Work | None], None]] = {}
-        self._unreplicated_answers: dict[str, tuple[Request, bytes]] = {}  # paid answers that wait to be kept
-        self._unconfirmed_answers: dict[str, tuple[Attempt, bytes]] = {}  # that wait for certainty
+        # Paid answers that wait until their records are replicated, by record id.
+        self._unreplicated_answers: dict[str, tuple[Request, bytes]] = {}
+        # Answers of media servers, and releases, that wait until the ownership is confirmed, by record id.
+        self._unconfirmed_answers: dict[str, tuple[Attempt, bytes]] = {}
         self._unconfirmed_releases: OrderedDict[str, tuple[Request, Cause]] = OrderedDict()
-        self.handed_over: OrderedDict[str, None] = OrderedDict()
-        self.served_unreplicated: OrderedDict[str, None] = OrderedDict()  # served without keepers
-        self._last_ended: tuple[Request | None, bool] = (None, False)  # of the last one that ended
+        self.handed_over: OrderedDict[str, None] = OrderedDict()  # names of sessions that others own now
+        self.served_unreplicated: OrderedDict[str, None] = OrderedDict()  # ids of records without replicas
+        # The request that ended last, and whether this router was sure to own its record then.
+        self._last_ended: tuple[Request | None, bool] = (None, False)
         self._adopting = False
         self._flush_timer: DeadlineKey | None = None
-        self._unclaimed: dict[str, Request] = {}  # repeatable ones that no keeper knows yet
+        self._unclaimed: dict[str, Request] = {}  # repeatable ones, until the next flush
         self._members_changed = True
         self._members_updated_ms = -1e12
 
-    # The node's side
+    # The node's interface
 
     def add_front(self, prefix: str, adapter: FrontAdapter, retention_ms: float = 0.0) -> None:
-        """A front whose work is kept; its answers that stay last for `lasts_ms` at least."""
+        """Adds a front whose records are replicated; final answers are stored for `retention_ms` at least.
+
+        To be called before `start`, which reads the retention.
+        """
         self.adapters[prefix] = adapter
         self.retention_ms = max(self.retention_ms, retention_ms)
 
     def start(self) -> None:
+        """Opens the store, where there is one, and begins to take part in the ownership protocol."""
         own = Member(self.members.name, self.members.membership.run, self.members.site.site)
         rules = model.Rules(
             self.site.keepers, self.site.lease_ms, self.site.routers, self.retention_ms, self.retention_ms
         )
         if self.store_folder is not None:
-            from cloverhinge.ownership.replica_store import (
-                ReplicaStore,  # loaded only where there is a folder
-            )
+            # Loaded only where there is a folder: it needs apsw.
+            from cloverhinge.ownership.replica_store import ReplicaStore
 
             reactor = self.members.reactor
             self.replica_store = ReplicaStore(
@@ -141,28 +145,31 @@
     def _on_durable(self, number: int, mark: Mark) -> None:
         self._act(self.core.on_durable(self.clock.now(), number, mark))
 
-    def _on_store_failure(self, why: str) -> None:
-        self.log.error("{name}: store: {why}", name=self.members.name, why=why)
-        self._act(self.core.on_store_failure(self.clock.now(), why))
+    def _on_store_failure(self, reason: str) -> None:
+        self.log.error("{name}: store: {reason}", name=self.members.name, reason=reason)
+        self._act(self.core.on_store_failure(self.clock.now(), reason))
 
     def begin_shutdown(self) -> None:
+        """Begins to hand all sessions over to other routers; `busy` until that is done."""
         self._act(self.core.leave(self.clock.now()))
 
     @property
     def busy(self) -> bool:
+        """Whether a hand-over is under way."""
         return not self.core.idle
 
     def status(self) -> dict[str, Any]:
-        counters, roster = asdict(self.core.counters), self.core.replica_sets.current
+        """For the status; its keys are those that operators see."""
+        counters, replica_set = asdict(self.core.counters), self.core.replica_sets.current
         return {
             "owned": len(self.core.owned),
             "kept": len(self.core.replica.slots),
             **counters,
             "roster": None
-            if roster is None
+            if replica_set is None
             else {
-                "number": roster.number,
-                "members": [x.name for x in roster.members],
+                "number": replica_set.number,
+                "members": [x.name for x in replica_set.members],
                 "votes": self.core.replica_sets.active,
                 "holes": len(self.core.replica_sets.holes),
             },
@@ -171,13 +178,13 @@
         }
 
     def look_up(self, text: str) -> dict[str, Any]:
-        """What this router knows of a piece of work, by the name that its front gives it."""
-        ids = [f"{letter}/{wire.record_name(text)}" for letter, wire in self.adapters.items()]
+        """What this router knows of a session or other work, by the name that its front gives it."""
+        ids = [f"{prefix}/{adapter.record_name(text)}" for prefix, adapter in self.adapters.items()]
         for id in ids:
             work = self.core.known_work(id)
             if work is not None:
-                kept = decode(work) or ReplicatedSession("", "", "")
-                server = self.router.listings.get(kept.server)
+                session = decode(work) or ReplicatedSession("", "", "")
+                server = self.router.listings.get(session.server)
                 box = "" if server is None else f"s-{server.server:08x}"
                 return {
                     "found": True,
@@ -186,9 +193,9 @@
                     "epoch": work.epoch,
                     "past": list(map(name_of, work.past_owners)),
                     "keepers": list(map(name_of, self.core.replicas_of(id))),
-                    "class": kept.class_name,
-                    "title": kept.title,
-                    "session": kept.session_id,
+                    "class": session.class_name,
+                    "title": session.title,
+                    "session": session.session_id,
                     "box": box,
                     "mine": id in self.core.owned,
                 }
@@ -197,19 +204,19 @@
             "keepers": sorted({name_of(x) for id in ids for x in self.core.replicas_of(id)}),
         }
 
-    # Membership's side
+    # Events of the membership
 
     def _on_membership_event(self, event: Event) -> None:
         if isinstance(event, MemberChanged | IncarnationVoided):
             self._members_changed = True
 
-    def _receive(self, carried: ComponentMessageReceived) -> None:
-        record = self.members.membership.table.records.get(carried.name)
-        member = Member(carried.name, carried.run, "" if record is None else record.site)
+    def _receive(self, message: ComponentMessageReceived) -> None:
+        record = self.members.membership.table.records.get(message.name)
+        member = Member(message.name, message.run, "" if record is None else record.site)
         try:
-            self._act(self.core.receive(self.clock.now(), member, carried.body))
+            self._act(self.core.receive(self.clock.now(), member, message.body))
         except MessageError as error:
-            self.members.report_trouble(error.kind, carried.name, str(error))
+            self.members.report_trouble(error.kind, message.name, str(error))
 
     def _tick(self) -> None:
         now, members = self.clock.now(), self.members.membership
@@ -220,9 +227,11 @@
                 for x in members.table.records.values()
                 if x.state is MemberState.ALIVE
             }
-            room = {x.member_id: self._spare_capacity(record.facts) for x, record in alive.items()}
+            spare_capacity = {x.member_id: self._spare_capacity(record.facts) for x, record in alive.items()}
             self.core.update_members(
-                {x: record.incarnation for x, record in alive.items()}, members.had_earlier_run, room
+                {x: record.incarnation for x, record in alive.items()},
+                members.had_earlier_run,
+                spare_capacity,
             )
         self._act(self.core.tick(now))
         for id, (attempt, answer) in list(self._unconfirmed_answers.items()):
@@ -237,12 +246,12 @@
     @staticmethod
     def _spare_capacity(facts: bytes) -> float:
         try:
-            told = msgspec.msgpack.decode(facts) if facts else {}
-            return float(told.get("capacity", 1) - told.get("load", 0) - told.get("open", 0))
+            values = msgspec.msgpack.decode(facts) if facts else {}
+            return float(values.get("capacity", 1) - values.get("load", 0) - values.get("open", 0))
         except (msgspec.MsgspecError, AttributeError, TypeError):
             return 1.0
 
-    # Towards the core of custody
+    # Calls to the ownership core, and its actions
 
     def _act(self, actions: list[model.Action]) -> None:
         for action in actions:
@@ -253,10 +262,10 @@
                     call = self._calls.pop(number, None)
                     if call is not None:
                         call(verdict, work)
-                case model.Acquired(id, work, found):
-                    self._on_acquired(id, work, found)
-                case model.OwnershipLost(id, _, over):
-                    self._on_ownership_lost(id, over)
+                case model.Acquired(id, work, previous):
+                    self._on_acquired(id, work, previous)
+                case model.OwnershipLost(id, _, final):
+                    self._on_ownership_lost(id, final)
                 case model.Replicated(id, phase):
                     if phase is Phase.STANDS:
                         self._send_answer(id)
@@ -277,8 +286,8 @@
 
     def _flush(self) -> None:
         self._flush_timer = None
-        fresh, self._unclaimed = self._unclaimed, {}
-        for request in fresh.values():
+        unclaimed, self._unclaimed = self._unclaimed, {}
+        for request in unclaimed.values():
             if request.state is not State.OVER:
                 self._claim_deferrable(request)
         self._act(self.core.flush(self.clock.now()))
@@ -298,7 +307,12 @@
         call: Callable[[Verdict, Work | None], None],
         deferrable: bool = False,
     ) -> None:
-        """`soon`: its viewer does not wait for it."""
+        """Claims a record for this router; `call` gets the verdict and the record's value.
+
+        `timeout_ms`: for the replicas to answer.  Where another router owns the record, it has until
+        `owned_deadline_ms`, by the router's clock, to hand it over.  `deferrable`: the viewer does not wait
+        for the replication.
+        """
         now = self.clock.now()
         self._act(
             self.core.claim(
@@ -320,21 +334,22 @@
         owned_deadline_ms: float,
         call: Callable[[Verdict, Work | None], None],
     ) -> None:
+        """Acquires an established session; claims nothing where there is none; answers as `claim` does."""
         now = self.clock.now()
         self._act(self.core.find(now, self._add_call(call), id, now + timeout_ms, owned_deadline_ms))
 
     def end(self, id: str) -> None:
-        """The front has forgotten it."""
+        """The front has forgotten the record: it is over."""
         self.update_phase(id, Phase.OVER)
 
     def update_phase(self, id: str, phase: Phase) -> None:
-        """What the front keeps of it stays as it is."""
-        held = self.core.owned.get(id)
-        if held is not None:
-            self._act(self.core.update(self.clock.now(), id, phase, held.work.body))
+        """Writes a new phase of a record that this router owns; the front's data in it stays as it is."""
+        record = self.core.owned.get(id)
+        if record is not None:
+            self._act(self.core.update(self.clock.now(), id, phase, record.work.body))
 
-    def _update(self, id: str, phase: Phase, kept: ReplicatedSession) -> None:
-        self._act(self.core.update(self.clock.now(), id, phase, encode(kept)))
+    def _update(self, id: str, phase: Phase, session: ReplicatedSession) -> None:
+        self._act(self.core.update(self.clock.now(), id, phase, encode(session)))
 
     @staticmethod
     def _record_id(request: Request) -> str:
@@ -346,40 +361,43 @@
 
     @staticmethod
     def _session_of(request: Request, server: int | None, answer: bytes = b"") -> ReplicatedSession:
-        """`server`: where it stands, or may; None: nowhere."""
-        ask, at = request.set_up, -1 if server is None else server
+        """The replicated description of a request; `server`: where it is or may be established, if any."""
+        set_up, server_number = request.set_up, -1 if server is None else server
         return ReplicatedSession(
-            ask.class_name,
-            ask.title,
-            ask.viewer_id,
-            ask.session_id if at >= 0 else "",
-            at,
+            set_up.class_name,
+            set_up.title,
+            set_up.viewer_id,
+            set_up.session_id if server_number >= 0 else "",
+            server_number,
             request.rung,
-            ask.first_cell,
-            ask.copies,
-            ask.ceiling,
-            ask.length_ms,
-            ask.peer_address,
-            answer if len(answer) <= MAX_ANSWER_BYTES and not ask.record_id else b"",
+            set_up.first_cell,
+            set_up.copies,
+            set_up.ceiling,
+            set_up.length_ms,
+            set_up.peer_address,
+            answer if len(answer) <= MAX_ANSWER_BYTES and not set_up.record_id else b"",
         )
 
-    # The core's `Custody`
+    # The core's `OwnershipPort`
 
     def prepare(self, attempt: Attempt) -> None:
+        """Has the attempt sent; a new paid record has to be replicated before, as prepared."""
         request, id = attempt.request, self._record_id(attempt.request)
-        kept = self._session_of(request, attempt.server)
+        session = self._session_of(request, attempt.server)
         if request.set_up.record_id or id in self.core.owned or attempt.number > 0:
-            self._update(id, Phase.INTENT, kept)  # it is this router's; its box is told after the fact
+            self._update(
+                id, Phase.INTENT, session
+            )  # this router owns it: its replicas may get the new server later
             self.router.send(attempt)
         elif not self._is_paid(request):
-            self._unclaimed[id] = request  # copied with the next ones: by then it may be over
+            self._unclaimed[id] = request  # claimed at the next flush, unless it is over by then
             self._flush_soon()
             self.router.send(attempt)
         else:
             self.claim(
                 id,
                 True,
-                kept,
+                session,
                 CLAIM_TIMEOUT_MS,
                 attempt.until_ms,
                 lambda verdict, work: self._on_prepared(attempt, verdict, work),
@@ -389,13 +407,13 @@
         request = attempt.request
         if request.attempt is not attempt or request.state is not State.OPEN:
             return
-        kept = None if work is None else decode(work)
+        session = None if work is None else decode(work)
         if verdict is Verdict.NEW:
             self.router.send(attempt)
-        elif verdict is Verdict.TAKEN_OVER and kept is not None:
-            self._adopting = True  # the record goes on; only the request that came for it ends
+        elif verdict is Verdict.TAKEN_OVER and session is not None:
+            self._adopting = True  # the record is continued; only the request that came for it ends
             try:
-                self.router.resume(request, kept.server, kept.answer)
+                self.router.resume(request, session.server, session.answer)
             finally:
                 self._adopting = False
         elif verdict is Verdict.UNREPLICATED and self.site.serve:
@@ -405,25 +423,26 @@
             self.router.conclude_unsent(request, failed=verdict in (Verdict.FINAL, Verdict.TAKEN_OVER))
 
     def _on_claimed(self, request: Request, verdict: Verdict, work: Work | None) -> None:
-        """Repeatable work, or a session that came here standing, is this router's by now."""
+        """After the claim of a request that was sent, or established, before: writes its present state."""
         id = self._record_id(request)
         if verdict not in (Verdict.NEW, Verdict.TAKEN_OVER) or work is None:
             return
-        kept = decode(work)
+        session = decode(work)
         if (
-            kept is not None
-            and kept.server >= 0
-            and kept.server != request.server
-            and kept.session_id == request.set_up.session_id
-            and (request.attempt is None or request.attempt.server != kept.server)
+            session is not None
+            and session.server >= 0
+            and session.server != request.server
+            and session.session_id == request.set_up.session_id
+            and (request.attempt is None or request.attempt.server != session.server)
         ):
-            self.adapters[id[0]].release_leftover(kept)  # what an earlier owner had under way
+            self.adapters[id[0]].release_leftover(session)  # of an earlier owner's set-up
         if request.state is State.ESTABLISHED:
             self._update(id, Phase.STANDS, self._session_of(request, request.server))
         elif request.state is State.OVER:
             self._update(id, Phase.OVER, self._session_of(request, None))
 
     def may_write(self, attempt: Attempt) -> bool:
+        """Whether to send the attempt: a paid one only while its record is owned, or served unreplicated."""
         request, id = attempt.request, self._record_id(attempt.request)
         if not self._is_paid(request):
             return True
@@ -434,6 +453,7 @@
         )
 
     def may_establish(self, attempt: Attempt, answer: bytes) -> bool:
+        """Whether the session may be established now; otherwise its answer waits for a confirmation."""
         request, id = attempt.request, self._record_id(attempt.request)
         if not self._is_paid(request) or id not in self.core.owned or self.core.may_act(id, self.clock.now()):
             return True
@@ -442,19 +462,20 @@
         return False
 
     def established(self, request: Request, answer: bytes) -> None:
-        id, kept = self._record_id(request), self._session_of(request, request.server, answer)
+        """Writes the record and answers the client, for paid work once it is replicated, or after a while."""
+        id, session = self._record_id(request), self._session_of(request, request.server, answer)
         if id not in self.core.owned:
             request.client.served(answer)
             if id not in self.core.acquisitions and id not in self._unclaimed:
                 self._claim_deferrable(request)
             return
         if not self._is_paid(request) or len(self._unreplicated_answers) >= MAX_PENDING:
-            self._update(id, Phase.STANDS, kept)
+            self._update(id, Phase.STANDS, session)
             request.client.served(answer)
             return
         self._unreplicated_answers[id] = request, answer
         self.deadlines.after(MAX_ANSWER_DELAY_MS, lambda: self._send_answer(id, request))
-        self._update(id, Phase.STANDS, kept)
+        self._update(id, Phase.STANDS, session)
 
     def _claim_deferrable(self, request: Request) -> None:
         server = request.server if request.attempt is None else request.attempt.server
@@ -468,34 +489,37 @@
             deferrable=True,
         )
 
-    def _send_answer(self, id: str, only: Request | None = None) -> None:
-        told = self._unreplicated_answers.get(id)
-        if told is not None and only in (None, told[0]):
+    def _send_answer(self, id: str, expected: Request | None = None) -> None:
+        waiting = self._unreplicated_answers.get(id)
+        if waiting is not None and expected in (None, waiting[0]):
             del self._unreplicated_answers[id]
-            told[0].client.served(told[1])
+            waiting[0].client.served(waiting[1])
 
     def adopted(self, request: Request) -> None:
+        """Claims the record of a session that was found playing already, not acquired by its record."""
         if not self._adopting:
             self._claim_deferrable(request)
 
     def rung_changed(self, request: Request) -> None:
+        """Writes the new rung into the record."""
         id = self._record_id(request)
-        held = self.core.owned.get(id)
-        kept = None if held is None else decode(held.work)
-        if kept is not None:
-            kept.rung = request.rung
-            self._update(id, Phase.STANDS, kept)
+        record = self.core.owned.get(id)
+        session = None if record is None else decode(record.work)
+        if session is not None:
+            session.rung = request.rung
+            self._update(id, Phase.STANDS, session)
 
     def ended(self, request: Request) -> None:
+        """Writes how the request ended into the record."""
         if self._adopting:
             return
         id = self._record_id(request)
         self._send_answer(id, request)
         self._unconfirmed_answers.pop(id, None)
         self._unclaimed.pop(id, None)
-        held = self.core.owned.get(id)
-        self._last_ended = request, held is None or self.core.may_act(id, self.clock.now())
-        if held is None or held.hand_over_to:
+        record = self.core.owned.get(id)
+        self._last_ended = request, record is None or self.core.may_act(id, self.clock.now())
+        if record is None or record.hand_over_to:
             return
         if request.server is None and self._is_paid(request) and request.may_have_run:
             phase = Phase.FAILED
@@ -506,60 +530,69 @@
         self._update(id, phase, self._session_of(request, request.server if phase is Phase.FAILED else None))
 
     def release(self, request: Request, cause: Cause) -> None:
-        """Guards a successor's session: this router may have slept, or be cut off, and not know of it."""
-        about, sure = self._last_ended
-        if about is request and sure:
+        """Has the media server release the session, once it is certain that no other router owns it.
+
+        This router may have been paused or cut off, and not know yet that a successor has taken it over.
+        """
+        ended_request, confirmed = self._last_ended
+        if ended_request is request and confirmed:
             request.servers.release(request, cause)
             return
         self._unconfirmed_releases[self._record_id(request)] = request, cause
         evict_oldest(self._unconfirmed_releases, MAX_PENDING)
 
     def _send_release(self, id: str) -> None:
-        told = self._unconfirmed_releases.pop(id, None)
-        if told is not None:
-            told[0].servers.release(*told)
+        waiting = self._unconfirmed_releases.pop(id, None)
+        if waiting is not None:
+            waiting[0].servers.release(*waiting)
 
-    # Taking and giving
+    # Records that are acquired and lost
 
-    def _on_acquired(self, id: str, work: Work, found: Work | None) -> None:
-        wire = self.adapters.get(id[0])
+    def _on_acquired(self, id: str, work: Work, previous: Work | None) -> None:
+        adapter = self.adapters.get(id[0])
         if (
-            found is not None
-            and found.phase is Phase.INTENT
-            and found.owner != work.owner
+            previous is not None
+            and previous.phase is Phase.INTENT
+            and previous.owner != work.owner
             or work.phase is Phase.DOOMED
         ):
-            left = decode(work if found is None or found.phase is not Phase.INTENT else found)
-            if left is not None and left.server >= 0 and wire is not None:
-                wire.release_leftover(left)
-        why = ""
+            leftover = decode(work if previous is None or previous.phase is not Phase.INTENT else previous)
+            if leftover is not None and leftover.server >= 0 and adapter is not None:
+                adapter.release_leftover(leftover)
+        reason = ""
         if work.phase is Phase.STANDS:
-            kept = decode(work)
-            if wire is None:
-                why = "this router has no such front"
-            elif kept is None:
-                why = "it is of another version"
-            elif kept.server >= 0 and kept.server not in self.router.listings:
-                why = "its box is not listed"
-            elif not wire.adopt(id, kept):
-                why = "no room, or its title is unknown"
-            if why:
+            session = decode(work)
+            if adapter is None:
+                reason = "this router has no such front"
+            elif session is None:
+                reason = "another version wrote its record"
+            elif session.server >= 0 and session.server not in self.router.listings:
+                reason = "its media server is not listed"
+            elif not adapter.adopt(id, session):
+                reason = "no capacity is left, or its title is unknown"
+            if reason:
                 self.log.warn(
-                    "{name}: custody: {id} can't go on here: {why}", name=self.members.name, id=id, why=why
+                    "{name}: custody: cannot continue {id} on this router: {reason}",
+                    name=self.members.name,
+                    id=id,
+                    reason=reason,
                 )
         abandoned = (
             work.phase is Phase.INTENT
             and not work.paid
             and id not in self.core.acquisitions
-            and (wire is None or not wire.has_client(id))
+            and (adapter is None or not adapter.has_client(id))
         )
-        if why or abandoned:
+        if reason or abandoned:
             self._act(self.core.update(self.clock.now(), id, Phase.OVER, work.body))
 
     def adopt_session(
         self, set_up: SetUpRequest, session: ReplicatedSession, client: ClientPort, servers: ServerPort
     ) -> Request | None:
-        """For fronts that adopt: the session goes into the core, without a claim of its own."""
+        """Registers a session whose record was acquired with the router's core, without another claim.
+
+        For `FrontAdapter.adopt`; None where the class is unknown or the core can't take the session.
+        """
         if session.class_name not in self.router.classes:
             return None
         self._adopting = True
@@ -571,23 +604,24 @@
             request.rung = session.rung
         return request
 
-    def _on_ownership_lost(self, id: str, over: bool) -> None:
+    def _on_ownership_lost(self, id: str, final: bool) -> None:
         self._unconfirmed_releases.pop(id, None)
         self._unconfirmed_answers.pop(id, None)
-        wire = self.adapters.get(id[0])
-        request = None if wire is None else wire.request_of(id)
+        adapter = self.adapters.get(id[0])
+        request = None if adapter is None else adapter.request_of(id)
         if request is not None:
-            self._send_answer(id, request)  # what waits to be told of it is answered from here still
+            self._send_answer(id, request)  # a waiting client is still answered by this router
             self.remember(self.handed_over, request.set_up.session_id)
-        if wire is not None:
-            wire.ownership_lost(id)
+        if adapter is not None:
+            adapter.ownership_lost(id)
         if request is not None:
             server = request.server
             self.router.hand_over(request)
-            if over and server is not None and wire is not None:
-                wire.release_leftover(self._session_of(request, server))
+            if final and server is not None and adapter is not None:
+                adapter.release_leftover(self._session_of(request, server))
 
     @staticmethod
-    def remember(table: OrderedDict[str, None], name: str) -> None:
-        table[name] = None
-        evict_oldest(table, MAX_REMEMBERED)
+    def remember(names: OrderedDict[str, None], name: str) -> None:
+        """Adds a name to a table of `MAX_REMEMBERED`; the oldest one leaves."""
+        names[name] = None
+        evict_oldest(names, MAX_REMEMBERED)
--- a/cloverhinge/ownership/replica_store.py
+++ b/cloverhinge/ownership/replica_store.py
@@ -1,4 +1,7 @@
-"""A keeper's store on disk: opened at its start, written in a thread.  What it means: persistence.py."""
+"""A replica's store on disk: opened at the start, written in a thread.
+
+What the rows mean, and when the contents are trusted, is in persistence.py.
+"""
 
 from __future__ import annotations
 
@@ -16,9 +19,11 @@
 
 
 class ReplicaStore:
-    """`done` and `failed` are called in the program's own thread, by `call`.
+    """The folder of a router's replicas, and the thread that writes it.
 
-    A folder that can't be used is one plain line in the log, and this router keeps nothing for others.
+    `on_durable` gets the number of the rows and the mark, `on_failure` the reason; both are called in the
+    main thread, by `call_in_main_thread`.  Where the folder can't be used, the reason is logged as one line
+    and this router holds no replicas.
     """
 
     log = Logger()
@@ -40,14 +45,16 @@
 
     def _open(self) -> ReplicaPersistence:
         try:
-            told = self.folder.open()
+            contents = self.folder.open()
         except UnusableStoreError as error:
             self.log.error("{name}: store: {why}", name=self.own.name, why=str(error))
             return ReplicaPersistence.unusable(self.own, str(error))
-        if told.void_reason:
-            self.log.error("{name}: store: {why}", name=self.own.name, why=told.void_reason)
+        if contents.void_reason:
+            self.log.error("{name}: store: {why}", name=self.own.name, why=contents.void_reason)
         try:
-            recall = ReplicaPersistence.from_folder(self.own, told.claim, told.mark, told.rows)
+            persistence = ReplicaPersistence.from_folder(
+                self.own, contents.claim, contents.mark, contents.rows
+            )
         except ValueError as error:
             self.folder.close()
             why = f"{self.path} holds what this version does not know: {error}"
@@ -57,13 +64,14 @@
             "{name}: store: {path}, generation {generation}, {rows} rows",
             name=self.own.name,
             path=str(self.path),
-            generation=told.mark.generation,
-            rows=len(told.rows),
+            generation=contents.mark.generation,
+            rows=len(contents.rows),
         )
         self.writer = Writer(self.folder, self.call_in_main_thread, self._on_commit, self.on_failure)
-        return recall
+        return persistence
 
     def put(self, rows: Persist) -> None:
+        """Queues rows for the next commit; drops them where the folder can't be used."""
         if self.writer is not None:
             self.writer.put(rows.number, rows.rows, rows.void, rows.above)
 
@@ -73,15 +81,16 @@
         self.on_durable(number, mark)
 
     def status(self) -> dict[str, Any]:
-        recall = self.persistence
+        """For the status; its keys are those that operators see."""
+        persistence = self.persistence
         return {
-            "state": recall.state.name.lower(),
-            "why": recall.unusable_reason,
+            "state": persistence.state.name.lower(),
+            "why": persistence.unusable_reason,
             "folder": str(self.path),
-            "generation": recall.mark.generation,
-            "position": recall.mark.position,
+            "generation": persistence.mark.generation,
+            "position": persistence.mark.position,
             "rows": self.folder.row_count,
-            "waiting": recall.last_number - recall.durable_number,
+            "waiting": persistence.last_number - persistence.durable_number,
             "commits": self.commits,
             "last_ms": round(self.last_ms, 1),
             "slowest_ms": round(self.slowest_ms, 1),
@@ -96,5 +105,6 @@
         return f"the word of {judge.missing_answers} of {silent}"
 
     def close(self) -> None:
+        """Commits the queued rows and closes the folder."""
         if self.writer is not None:
             self.writer.close()
--- a/cloverhinge/ownership/replicated_work.py
+++ b/cloverhinge/ownership/replicated_work.py
@@ -1,4 +1,4 @@
-"""What a successor has to know of a piece of work, as the keepers hold it."""
+"""The part of a record that fronts define: what a successor needs to continue a session."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 
 
 class ReplicatedSession(msgspec.Struct, array_like=True):
+    """The replicated description of a session.  It is encoded by position, so new fields go to the end."""
+
     class_name: str
     title: str
-    viewer_id: str  # the player's play id, or the viewer
-    session_id: str = ""  # the session's, as its box knows it
-    server: int = -1  # its box; -1: none yet
+    viewer_id: str  # the player's play id, or the viewer's id
+    session_id: str = ""  # as its media server knows it
+    server: int = -1  # its media server; -1: none yet
     rung: int | None = None
     first_cell: int = 0
     copies: int = 0
@@ -23,7 +25,7 @@
     answer: bytes = b""
 
     def set_up_request(self, record_id: str = "") -> SetUpRequest:
-        """What its viewer asked for, as a front that goes on with it tells the core."""
+        """The set-up request of the session, for a front that continues it."""
         return SetUpRequest(
             self.session_id,
             self.class_name,
@@ -44,7 +46,7 @@
 
 
 def decode(work: Work) -> ReplicatedSession | None:
-    """None where another version wrote it, which keeps other things."""
+    """The session that the record describes; None where a version with other fields wrote it."""
     try:
         return _decoder.decode(work.body)
     except msgspec.MsgspecError:
--- a/cloverhinge/ownership/wire.py
+++ b/cloverhinge/ownership/wire.py
@@ -1,4 +1,7 @@
-"""What routers say to each other about work in hand: msgpack by msgspec, carried by the members' messages."""
+"""Messages of the ownership protocol: msgpack by msgspec, as bodies of membership messages.
+
+All structs are encoded by position, and items by their tag: order and tags are the protocol, names are not.
+"""
 
 from __future__ import annotations
 
@@ -14,27 +17,32 @@
 
 T = TypeVar("T")
 
-MAX_MEMBERS = 128  # routers in a roster: one datagram of 1 KB holds a table of their names' digests, TCP all
-MAX_ID_LENGTH = 160  # characters of a record's id: a front's letter and the longest play id
-MAX_BATCH_BYTES = 900  # of items in one message, so that with the members' head it stays one datagram
-MAX_LISTED_IDS = 32  # ids in an answer: with the longest still some 5 KB
-MAX_TRANSFER_BYTES = 64 * 1024  # of slots in one part of a transfer: goes over TCP
+# Routers in a replica set: one datagram of 1 KB holds a table of their names' digests, TCP the whole set.
+MAX_MEMBERS = 128
+MAX_ID_LENGTH = 160  # characters of a record's id: a front's prefix and the longest play id
+MAX_BATCH_BYTES = 900  # of items in one message, so that with the membership's header it fits one datagram
+MAX_LISTED_IDS = 32  # ids in one page: some 5 KB of the longest
+MAX_TRANSFER_BYTES = 64 * 1024  # of slots in one part of a transfer, which goes over TCP
 
 RecordId = Annotated[str, Meta(min_length=1, max_length=MAX_ID_LENGTH)]
-MemberId = Annotated[str, Meta(max_length=96)]  # one run of one router: `Member.who`
+MemberId = Annotated[str, Meta(max_length=96)]  # of one run of one router: `Member.member_id`
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True, order=True, forbid_unknown_fields=True):
+    """One run of one router."""
+
     name: Name
     run: Number
     site: Annotated[str, Meta(max_length=64)] = ""
 
     @property
     def member_id(self) -> str:
+        """NAME#RUN, the run in hexadecimal."""
         return f"{self.name}#{self.run:x}"
 
 
 def name_of(member_id: str) -> str:
+    """The router's name in a member id."""
     return member_id.partition("#")[0]
 
 
@@ -42,8 +50,10 @@
 
 
 class Hole(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Members of a roster who never told what they held: records with too many keepers among them are
-    unknown, unless they were written in a later one."""
+    """Members of a replica set that never transferred what they held.
+
+    Records with too many replicas among them are unknown, unless they were written in a later replica set.
+    """
 
     number: Number
     members: Members
@@ -51,36 +61,46 @@
 
 
 class ReplicaSet(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Whose majority keeps records.  `sources` are those who have to tell what they hold before it votes."""
+    """The routers among which each record's replicas are chosen, as one version of a lineage.
+
+    `sources` are the members that have to transfer what they hold before this replica set votes.
+    """
 
     lineage: Number
     number: Number
     members: Members
-    incarnations: Annotated[
-        tuple[Number, ...], Meta(max_length=MAX_MEMBERS)
-    ]  # incarnations that they had then
+    # Of the members, when the replica set was formed.
+    incarnations: Annotated[tuple[Number, ...], Meta(max_length=MAX_MEMBERS)]
     sources: Members = ()
     holes: Annotated[tuple[Hole, ...], Meta(max_length=16)] = ()
 
 
 class RefusalReason(IntEnum):
+    """Why a replica refused a request."""
+
     BALLOT = 0  # a higher one was promised
     LEASE = 1  # the owner's lease runs
-    HOLE = 2  # the record may have been lost: ask, don't claim
-    FULL = 3
-    REPLICA_SET = 4  # this keeper does not vote in that roster, or not yet
+    HOLE = 2  # the record may have been lost: it needs a prepare round, not a claim
+    FULL = 3  # no slot is free
+    REPLICA_SET = 4  # the replica does not vote in that replica set, or not yet
 
 
 class Item(msgspec.Struct, array_like=True, frozen=True):
+    """One of the items of a message."""
+
     pass
 
 
 class Prepare(Item, tag=1, frozen=True):
+    """To a replica: the first round for a record, see `register.prepare`."""
+
     id: RecordId
     ballot: Ballot
 
 
 class Promised(Item, tag=2, frozen=True):
+    """The answer to `Prepare`; `hole`: later values of the record may have been lost."""
+
     id: RecordId
     ballot: Ballot
     accepted: Ballot
@@ -89,15 +109,20 @@
 
 
 class Write(Item, tag=3, frozen=True):
+    """To a replica: the value to accept."""
+
     id: RecordId
     ballot: Ballot
     work: Work
     is_claim: bool = False  # see `register.accept`
-    deferrable: bool = False  # nobody waits for it: its answer may travel with others
+    deferrable: bool = False  # nobody waits for it: its answer may be sent together with others
 
 
 class Written(Item, tag=4, frozen=True):
-    """Counts while `generation` is that of the asker's lease here: a fence since then voids it."""
+    """A replica accepted a write.
+
+    It counts while `generation` is that of the proposer's lease at the replica: a later fence voids it.
+    """
 
     id: RecordId
     ballot: Ballot
@@ -105,6 +130,8 @@
 
 
 class Refused(Item, tag=5, frozen=True):
+    """A replica refused a prepare request or a write."""
+
     id: RecordId
     ballot: Ballot
     reason: RefusalReason
@@ -114,40 +141,43 @@
 
 
 class LeaseRequest(Item, tag=6, frozen=True):
-    """Asks for a lease, and tells which roster holds here; sent to all at a pace."""
+    """Asks for a lease, and announces the sender's replica set and state; sent to all members regularly."""
 
     seq: Number
-    generation: Number  # of the asked one's leases for this router, as far as it is known
-    votes: bool  # votes in its roster
+    generation: Number  # of the receiver's leases to the sender, as far as the sender knows it
+    votes: bool  # in its replica set
     earlier_run_known: bool  # others remember an earlier run of its name
     leaving: bool = False
-    store_state: Annotated[int, Meta(ge=0, le=3)] = 0  # `recall.Stands`
-    represented_runs: Annotated[
-        tuple[MemberId, ...], Meta(max_length=16)
-    ] = ()  # runs in its roster that it speaks for
+    store_state: Annotated[int, Meta(ge=0, le=3)] = 0  # `persistence.StoreState`
+    # Runs in its replica set that it represents.
+    represented_runs: Annotated[tuple[MemberId, ...], Meta(max_length=16)] = ()
 
 
 class LeaseGranted(Item, tag=7, frozen=True):
+    """The lease that was requested with `seq` is granted."""
+
     seq: Number
     generation: Number
-    record_count: Number  # records of the asker's that are kept here
+    record_count: Number  # records of the requesting owner that the granting replica holds
 
 
 class LeaseLapsed(Item, tag=8, frozen=True):
-    """No lease for that generation: what was counted as written here has to be written again."""
+    """No lease of that generation runs: what the owner counts as written here has to be written again."""
 
     seq: Number
     generation: Number
 
 
 class ReplicaSetPrepare(Item, tag=9, frozen=True):
-    """`number` is the roster whose members are asked for the next one."""
+    """The first round of the vote on the next replica set; `number` is that of the present one."""
 
     number: Number
     ballot: Ballot
 
 
 class ReplicaSetPromised(Item, tag=10, frozen=True):
+    """The answer to `ReplicaSetPrepare`."""
+
     number: Number
     ballot: Ballot
     accepted: Ballot
@@ -155,23 +185,31 @@
 
 
 class ReplicaSetWrite(Item, tag=11, frozen=True):
+    """The second round of the vote: the replica set to accept."""
+
     number: Number
     ballot: Ballot
     value: ReplicaSet
 
 
 class ReplicaSetWritten(Item, tag=12, frozen=True):
+    """The answer to `ReplicaSetWrite`."""
+
     number: Number
     ballot: Ballot
 
 
 class ReplicaSetRefused(Item, tag=13, frozen=True):
+    """A higher ballot was promised."""
+
     number: Number
     ballot: Ballot
     promised: Ballot
 
 
 class ReplicaSetAnnouncement(Item, tag=14, frozen=True):
+    """A replica set that has been decided."""
+
     replica_set: ReplicaSet
 
 
@@ -179,77 +217,91 @@
 
 
 class TransferPart(Item, tag=15, frozen=True):
-    """A part of all that one keeper holds for another, when a roster follows another."""
+    """A part of all that one replica holds for another, when a new replica set follows."""
 
     number: Number
     part: Number
     parts: Number
     slots: list[TransferredSlot]
-    leases: list[tuple[MemberId, float]]  # whose, and for how many ms more
+    leases: list[tuple[MemberId, float]]  # the owner, and the rest of its lease in ms
 
 
 class TransferAck(Item, tag=16, frozen=True):
+    """The part has been received."""
+
     number: Number
     part: Number
 
 
 class HandOverRequest(Item, tag=17, frozen=True):
-    """A viewer of this record's came here: hand it over."""
+    """To the record's owner: its viewer came to the sending router, which asks for the record."""
 
     id: RecordId
 
 
 class HandOver(Item, tag=18, frozen=True):
+    """To the record's next owner: it may go on writing under this ballot."""
+
     id: RecordId
     ballot: Ballot
     work: Work
 
 
 class HandOverRefused(Item, tag=19, frozen=True):
-    """`open`: its set-up is under way, ask again; otherwise it is not here."""
+    """The record is not handed over.
+
+    `set_up_pending`: its set-up is under way, ask again later; otherwise the receiver does not own it.
+    """
 
     id: RecordId
     set_up_pending: bool
 
 
 class HandOverAck(Item, tag=20, frozen=True):
+    """The next owner has the record."""
+
     id: RecordId
     ballot: Ballot
 
 
 class LeaseNotGranted(Item, tag=23, frozen=True):
-    """Heard, and no lease: this one does not vote now."""
+    """The lease request was received, but the receiver does not vote now and grants no leases."""
 
     seq: Number
 
 
 class Withdraw(Item, tag=24, frozen=True):
-    """A claim that not all have taken, and that is given up: as if it had not been taken here."""
+    """A claim that not all replicas accepted is given up: the replica removes its value."""
 
     id: RecordId
     ballot: Ballot
 
 
 class OwnedRecordsQuery(Item, tag=21, frozen=True):
-    """Which records of mine do you keep, by id after this one?"""
+    """Asks for the ids, above `after`, of the sender's records that the receiver holds."""
 
     after: Annotated[str, Meta(max_length=MAX_ID_LENGTH)]
 
 
 class OwnedRecordsPage(Item, tag=22, frozen=True):
+    """The answer to `OwnedRecordsQuery`; `last`: there are no more."""
+
     ids: Annotated[list[RecordId], Meta(max_length=MAX_LISTED_IDS)]
     last: bool
 
 
 class StoreClaim(Item, tag=25, frozen=True):
-    """My store shows this mark: have you heard a later one?"""
+    """The mark of the sender's store: asks whether the receiver has received a later one from it."""
 
     generation: Number
     position: Number
 
 
 class StoreClaimAnswer(Item, tag=26, frozen=True):
-    """To a claim, or to a mark that came with a message though a later generation's was heard before."""
+    """The answer to a claim, or to a mark of an earlier generation than one received before.
+
+    `allows`: no mark after `generation` and `position` was received; the other two are the latest received.
+    """
 
     generation: Number
     position: Number
@@ -289,7 +341,7 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """The sender's roster, what it says, and its store's mark, where it has one."""
+    """The sender's replica set, its items, and the mark of its store, (0, 0) where it has none."""
 
     lineage: Number
     number: Number
@@ -299,7 +351,7 @@
 
 
 class EncodedMessage(msgspec.Struct, array_like=True, frozen=True):
-    """A body whose items are encoded already."""
+    """A `Message` whose items are encoded already."""
 
     lineage: int
     number: int
@@ -313,35 +365,38 @@
 
 
 def pack(item: object) -> msgspec.Raw:
+    """An encoded item, for `encode`."""
     return msgspec.Raw(_encoder.encode(item))
 
 
 def encode(lineage: int, number: int, items: list[msgspec.Raw], mark: tuple[int, int] = (0, 0)) -> bytes:
+    """The encoded message; `mark`: generation and position of the sender's store."""
     return _encoder.encode(EncodedMessage(lineage, number, items, *mark))
 
 
 def size(item: object) -> int:
+    """Bytes of the encoded item."""
     return len(_encoder.encode(item))
 
 
 def batches(items: Iterable[T], size: Callable[[T], int], max_bytes: int) -> Iterator[list[T]]:
-    """In order, each of `most` bytes at the most; one that is larger goes alone."""
+    """The items in order, in batches of at most `max_bytes`; a larger item is a batch of its own."""
     batch: list[T] = []
-    room = max_bytes
+    bytes_left = max_bytes
     for item in items:
-        taken = size(item)
-        if batch and taken > room:
+        item_bytes = size(item)
+        if batch and item_bytes > bytes_left:
             yield batch
-            batch, room = [], max_bytes
+            batch, bytes_left = [], max_bytes
         batch.append(item)
-        room -= taken
+        bytes_left -= item_bytes
     if batch:
         yield batch
 
 
 def decode(data: bytes) -> Message:
-    """Raises Bad."""
+    """Raises MessageError for a body that is not a valid message."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise MessageError("malformed", f"it can't be read: {error}") from None
+        raise MessageError("malformed", f"body is not a valid message: {error}") from None
--- a/cloverhinge/rtsp/replicated_sessions.py
+++ b/cloverhinge/rtsp/replicated_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions over RTSP as custody keeps them: `r/SESSION`."""
+"""The RTSP front's adapter for ownership; records of its sessions are `r/SESSION`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReplicatedSessions:
-    """The front's side of custody."""
+    """Implements `FrontAdapter` for the RTSP front."""
 
     def __init__(
         self, ownership: OwnershipComponent, router: Router, front: Front, servers: MediaServers
@@ -22,10 +22,11 @@
         front.kept_answer = self.replicated_answer
         ownership.add_front(SESSION_PREFIX, self)
 
-    def replicated_answer(self, name: str) -> bytes:
-        work = self.ownership.core.known_work(f"{SESSION_PREFIX}/{name}")
-        kept = None if work is None else decode(work)
-        return b"" if kept is None else kept.answer
+    def replicated_answer(self, session_id: str) -> bytes:
+        """The media server's answer to the session's set-up; empty where none is known."""
+        work = self.ownership.core.known_work(f"{SESSION_PREFIX}/{session_id}")
+        session = None if work is None else decode(work)
+        return b"" if session is None else session.answer
 
     def record_name(self, text: str) -> str:
         return text
@@ -38,17 +39,17 @@
 
     def adopt(self, id: str, session: ReplicatedSession) -> bool:
         if session.session_id in self.router.by_session_id:
-            return True  # it is here, or its viewer is, and is told of it
-        viewer = RtspClient(self.front, 0, session.peer_address, session.session_id)
-        request = self.ownership.adopt_session(session.set_up_request(), session, viewer, self.servers)
+            return True  # the session is here, or a client that waits for it and is answered
+        client = RtspClient(self.front, 0, session.peer_address, session.session_id)
+        request = self.ownership.adopt_session(session.set_up_request(), session, client, self.servers)
         if request is not None:
-            viewer.stands(True)
+            client.stands(True)
         return request is not None
 
     def ownership_lost(self, id: str) -> None:
-        """Its viewer is told nothing: the session goes on."""
+        """Sends the viewer nothing: the session continues."""
 
     def release_leftover(self, session: ReplicatedSession) -> None:
-        """Not while a viewer of that very session is here: its set-up has the same name."""
+        """Releases nothing while a client of the same session is here: its set-up has the same name."""
         if session.session_id not in self.router.by_session_id:
             self.servers.let_go(session.server, session.session_id)
