--- a/cloverhinge/store/__init__.py
+++ b/cloverhinge/store/__init__.py
@@ -1,7 +1,7 @@
-"""What outlives a restart: rows in a folder, and the proof that nothing of them is missing.
+"""Rows that survive a restart, in a folder, and the check that none of them are missing.
 
-It may touch its folder and the clock.  It must not know what the rows mean, nor who asks: custody is above.
-This face is pure; whoever opens a folder takes `store.folder` and `store.writer`, which need apsw.
+May use its folder and the clock.  Must not know what the rows mean, nor who uses them: ownership/ is above.
+What is exported here is pure; a folder is opened by `store.folder` and `store.writer`, which need apsw.
 """
 
 from cloverhinge.store.proof import NO_MARK, Judge, Mark, StoreVerdict, Witness
--- a/cloverhinge/store/folder.py
+++ b/cloverhinge/store/folder.py
@@ -1,6 +1,7 @@
-"""One router's folder on disk: sqlite in WAL mode, synced at each commit.  What is believed of it: rows.py.
+"""One router's folder on disk: sqlite in WAL mode, synced at each commit.
 
-The commit that fails is the last one: a store that can't say what is on its disk says nothing more.
+How damage is detected is in rows.py.  No commit follows one that failed: after it, it is not known what is on
+the disk.
 """
 
 from __future__ import annotations
@@ -16,30 +17,33 @@
 import apsw
 import msgspec
 
-from cloverhinge.store import rows as form
+from cloverhinge.store import rows as row_format
 from cloverhinge.store.proof import NO_MARK, Mark
 from cloverhinge.store.rows import Head, Rows
 
 DATABASE_FILE, LOCK_FILE = "store.sqlite", "store.lock"
-WAL_CHECKPOINT_PAGES = 1000  # of 4 KiB, written back into the file then: sqlite's default, some 4 MB of WAL
+WAL_CHECKPOINT_PAGES = 1000  # of 4 KiB, after which the WAL is written back: sqlite's default, some 4 MB
 
 
 class UnusableStoreError(Exception):
-    """Nothing can be kept here; the text is one plain sentence."""
+    """The folder can't be used; the text is one sentence with the reason, for the log and the status."""
 
 
 @dataclass(frozen=True, slots=True)
 class FolderContents:
-    claim: Mark  # as the folder was found; NO_MARK: empty, or void
+    """What a folder held when it was opened."""
+
+    claim: Mark  # as the folder was found; NO_MARK: it was empty, or its contents are void
     mark: Mark  # of this start
     rows: dict[str, bytes]
-    void_reason: str  # why what was there is not believed; "" where it is, or where there was nothing
+    void_reason: str  # why the contents are not trusted; "" where they are, or where there were none
 
 
 class Folder:
-    """`vfs`: of sqlite's, for tests that let writes and syncs fail."""
+    """The folder of one router, for one process at a time."""
 
     def __init__(self, path: Path, owner: str, vfs: str = "") -> None:
+        """`owner`: the router's name; `vfs`: a VFS of sqlite's, for tests that let writes and syncs fail."""
         self.path, self.owner, self.vfs = path, owner, vfs
         self.connection: apsw.Connection | None = None
         self.lock_fd: int | None = None
@@ -48,7 +52,10 @@
         self._file_identity = 0, 0  # device and inode of the database as opened
 
     def open(self) -> FolderContents:
-        """Takes the folder for this process, and begins the next generation.  Raises Unusable."""
+        """Locks the folder for this process, and begins the next generation.  Raises UnusableStoreError.
+
+        Damaged contents are discarded, and the folder begins empty.
+        """
         try:
             self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
             self.lock_fd = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -69,35 +76,35 @@
             raise
 
     def _read(self) -> FolderContents:
-        void, head, rows = "", None, dict[str, bytes]()
-        there = (self.path / DATABASE_FILE).exists()
+        void_reason, head, rows = "", None, dict[str, bytes]()
+        existed = (self.path / DATABASE_FILE).exists()
         try:
             self._connect()
-            told = self._query("select value from head")
-            if there and not told:
+            head_rows = self._query("select value from head")
+            if existed and not head_rows:
                 raise ValueError("its head is missing")
-            if told:
-                head = self._check_head(form.decode_head(told[0][0]))
+            if head_rows:
+                head = self._check_head(row_format.decode_head(head_rows[0][0]))
                 rows = dict(self._query("select key, value from kept"))
-                self._checksums = form.row_checksums(rows.items())
+                self._checksums = row_format.row_checksums(rows.items())
                 if (
                     len(rows) != head.row_count
-                    or form.total_checksum(self._checksums.values()) != head.checksum
+                    or row_format.total_checksum(self._checksums.values()) != head.checksum
                 ):
                     raise ValueError("rows are missing or damaged")
         except (ValueError, apsw.CorruptError, apsw.NotADBError, apsw.SQLError) as error:
-            void, head = f"{self.path} is damaged and void: {error}", None
+            void_reason, head = f"{self.path} is damaged and void: {error}", None
         if head is None:
-            return FolderContents(NO_MARK, self._recreate(NO_MARK), {}, void)
+            return FolderContents(NO_MARK, self._recreate(NO_MARK), {}, void_reason)
         claim = head.mark
         self._head = msgspec.structs.replace(head, generation=head.generation + 1)
         self.commit({})
         return FolderContents(claim, self._head.mark, rows, "")
 
     def _check_head(self, head: Head) -> Head:
-        if head.format != form.FORMAT_VERSION:
+        if head.format != row_format.FORMAT_VERSION:
             raise UnusableStoreError(
-                f"{self.path} is of version {head.format}, this program knows {form.FORMAT_VERSION}"
+                f"{self.path} is of version {head.format}, this program knows {row_format.FORMAT_VERSION}"
             )
         if head.owner != self.owner:
             raise UnusableStoreError(f"{self.path} belongs to {head.owner}, not to {self.owner}")
@@ -114,32 +121,32 @@
             self._query(f"pragma {pragma}")
         self._query("create table if not exists head (id integer primary key check (id = 0), value blob)")
         self._query("create table if not exists kept (key text primary key, value blob) without rowid")
-        found = os.stat(self.path / DATABASE_FILE)
-        self._file_identity = found.st_dev, found.st_ino
+        file_status = os.stat(self.path / DATABASE_FILE)
+        self._file_identity = file_status.st_dev, file_status.st_ino
 
-    def _query(self, text: str) -> list[tuple[Any, ...]]:
+    def _query(self, statement: str) -> list[tuple[Any, ...]]:
         assert self.connection is not None
-        return self.connection.execute(text).fetchall()
+        return self.connection.execute(statement).fetchall()
 
     def _recreate(self, after: Mark) -> Mark:
-        """Empty, with a generation above that of any earlier life that is known of."""
+        """Makes the folder empty, with a generation above `after`, the last mark that is known."""
         self._disconnect()
         for suffix in ("", "-wal", "-shm"):
             (self.path / (DATABASE_FILE + suffix)).unlink(missing_ok=True)
         self._checksums = {}
-        self._head = Head(form.FORMAT_VERSION, self.owner, after.generation + 1, after.position, 0, 0)
+        self._head = Head(row_format.FORMAT_VERSION, self.owner, after.generation + 1, after.position, 0, 0)
         self._connect()
         self.commit({})
         return self._head.mark
 
     def clear(self) -> Mark:
-        """Something of it is missing: nothing of it is believed.  Raises Unusable."""
+        """Discards the contents, because some are known to be missing.  Raises UnusableStoreError."""
         return self._translate_errors(lambda: self._recreate(self._head.mark))
 
     def commit(self, rows: Rows, above: Mark = NO_MARK) -> Mark:
-        """All of it or nothing, on the disk when this returns; from then on its marks are above that one.
+        """Writes all rows or none, and returns the new mark once they are on the disk.
 
-        Raises Unusable, and then for good.
+        That mark and all later ones are above `above`.  Raises UnusableStoreError; no commit may follow.
         """
         return self._translate_errors(lambda: self._commit(rows, above))
 
@@ -150,43 +157,45 @@
             raise UnusableStoreError(f"{self.path} can't be written: {error}") from None
 
     def _commit(self, rows: Rows, above: Mark) -> Mark:
-        base = self.connection
-        if base is None:
+        connection = self.connection
+        if connection is None:
             raise UnusableStoreError(f"{self.path} is closed")
-        found = os.stat(self.path / DATABASE_FILE)
-        if (found.st_dev, found.st_ino) != self._file_identity:
+        file_status = os.stat(self.path / DATABASE_FILE)
+        if (file_status.st_dev, file_status.st_ino) != self._file_identity:
             raise UnusableStoreError(f"{self.path / DATABASE_FILE} is not the file that was opened")
-        head, checks = form.apply_changes(self._head, self._checksums, rows)
+        head, checksums = row_format.apply_changes(self._head, self._checksums, rows)
         if above >= head.mark:
             head = msgspec.structs.replace(head, generation=above.generation + 1)
-        with base:
-            base.executemany(
+        with connection:
+            connection.executemany(
                 "insert or replace into kept values (?, ?)",
                 [(key, value) for key, value in rows.items() if value is not None],
             )
-            base.executemany(
+            connection.executemany(
                 "delete from kept where key = ?", [(key,) for key, value in rows.items() if value is None]
             )
-            base.execute("insert or replace into head values (0, ?)", (form.encode_head(head),))
+            connection.execute("insert or replace into head values (0, ?)", (row_format.encode_head(head),))
         self._head = head
-        for key, one in checks.items():
-            if one is None:
+        for key, checksum in checksums.items():
+            if checksum is None:
                 self._checksums.pop(key, None)
             else:
-                self._checksums[key] = one
+                self._checksums[key] = checksum
         return head.mark
 
     @property
     def row_count(self) -> int:
+        """Rows in the folder."""
         return len(self._checksums)
 
     def _disconnect(self) -> None:
-        base, self.connection = self.connection, None
-        if base is not None:
-            with suppress(apsw.Error):  # what was committed is safe without it
-                base.close(True)
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            with suppress(apsw.Error):  # what was committed is on the disk without it
+                connection.close(True)
 
     def close(self) -> None:
+        """Closes the folder and unlocks it."""
         self._disconnect()
         if self.lock_fd is not None:
             os.close(self.lock_fd)
--- a/cloverhinge/store/writer.py
+++ b/cloverhinge/store/writer.py
@@ -1,4 +1,4 @@
-"""Commits in a thread of its own, in groups: what is put during one commit is in the next."""
+"""Commits in a thread of its own, in groups: rows that are put during one commit are in the next."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from cloverhinge.store.proof import NO_MARK, Mark
 from cloverhinge.store.rows import Rows
 
-MAX_WAITING_ROWS = 65_536  # rows; a disk that is so far behind has failed
+MAX_WAITING_ROWS = 65_536  # a disk that is further behind counts as failed
 
 
 class Writer:
-    """`call`: from the thread into the program's own; `done` is told of the last number that is safe, the
-    mark and the ms that it took; `failed` once, and nothing after it."""
+    """Writes rows into a folder.
+
+    `on_commit` gets the number of the last rows that are on the disk, the mark and the ms that the commit
+    took; `on_failure` gets the reason, once, and no call follows.  Both are called by `call_in_main_thread`.
+    """
 
     def __init__(
         self,
@@ -40,8 +43,11 @@
         self._thread.start()
 
     def put(self, number: int, rows: Rows, clear: bool = False, above: Mark = NO_MARK) -> None:
-        """`number` grows from call to call.  `void`: the folder is emptied first; `above`: its marks are to
-        be above that one from now on."""
+        """Queues rows for the next commit.
+
+        `number` grows from call to call.  `clear`: the folder is emptied first; `above`: its marks have to be
+        above this one from now on.
+        """
         with self._condition:
             if clear:
                 self._rows, self._clear_first = {}, True
@@ -54,7 +60,7 @@
             self._condition.notify()
 
     def close(self) -> None:
-        """Commits what is left, then gives the folder free."""
+        """Commits the queued rows, then closes the folder; waits for both."""
         with self._condition:
             self._closing = True
             self._condition.notify()
@@ -62,26 +68,26 @@
         self.folder.close()
 
     def _run(self) -> None:
-        told = 0
+        done_number = 0
         while True:
             with self._condition:
-                while self._number == told and not self._closing:
+                while self._number == done_number and not self._closing:
                     self._condition.wait()
-                rows, number, void, above = self._rows, self._number, self._clear_first, self._above
+                rows, number, clear, above = self._rows, self._number, self._clear_first, self._above
                 self._rows, self._clear_first, self._above = {}, False, NO_MARK
-                if number == told:
+                if number == done_number:
                     return
-            begun = time.monotonic()
+            started = time.monotonic()
             try:
                 if self._overloaded:
                     raise UnusableStoreError(
                         f"{self.folder.path}: {MAX_WAITING_ROWS} rows wait, the disk is too slow"
                     )
-                if void:
+                if clear:
                     self.folder.clear()
                 mark = self.folder.commit(rows, above)
             except UnusableStoreError as error:
                 self.call_in_main_thread(self.on_failure, str(error))
                 return
-            told = number
-            self.call_in_main_thread(self.on_commit, number, mark, 1000.0 * (time.monotonic() - begun))
+            done_number = number
+            self.call_in_main_thread(self.on_commit, number, mark, 1000.0 * (time.monotonic() - started))
--- a/tests/store_guards.py
+++ b/tests/store_guards.py
@@ -37,7 +37,7 @@
 
 
 def no_sum() -> None:
-    form.total_checksum = lambda checks: 0
+    form.total_checksum = lambda checksums: 0
     form.apply_changes = _unsummed(form.apply_changes)
 
 
