--- a/tests/test_lab_ownership.py
+++ b/tests/test_lab_ownership.py
@@ -1,4 +1,4 @@
-"""Work in hand in several processes, with faults between them, checked on the boxes' own record."""
+"""Ownership across real router processes with injected faults, checked against the media servers' records."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 
 @contextmanager
-def keeping(folder: Path, count: int = 5, titles: int = 20) -> Iterator[Rig]:
+def replicating_rig(folder: Path, count: int = 5, titles: int = 20) -> Iterator[Rig]:
     with viewers.keeping(folder, count, titles, idle_s=120.0, program=guards.program()) as made:
         yield made
-        twice = {title: n for title, n in set_ups(made.record).items() if n > 1}
-        assert not twice, (twice, made.record.tail())
+        repeated = {title: n for title, n in set_ups(made.record).items() if n > 1}
+        assert not repeated, (repeated, made.record.tail())
 
 
 def test_a_paid_play_goes_on_at_another_router_when_its_own_is_killed(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
+    with replicating_rig(tmp_path) as made:
         first = play(made, made[1], 0)
         assert first[0] == 200, (first, made.record.tail())
         assert play(made, made[1], 1, "free")[0] == 200
@@ -41,104 +41,104 @@
         for number, kind in ((0, "paid"), (1, "free")):
             code, text = play(made, made[3], number, kind)
             assert code == 200 and "/session/" in text, (code, text, made.record.tail())
-        until_told(made, "both are its own", lambda: status(made, 3)["owned"] >= 2)
+        poll_until(made, "r3 owns both records", lambda: status(made, 3)["owned"] >= 2)
 
 
-def later(call: Callable[[], Any]) -> threading.Thread:
+def in_thread(call: Callable[[], Any]) -> threading.Thread:
     thread = threading.Thread(target=call, daemon=True)
     thread.start()
     return thread
 
 
-def until(made: Rig, what: str, holds: Callable[[], bool]) -> None:
+def wait_for(made: Rig, what: str, holds: Callable[[], bool]) -> None:
     made.record.until(holds, SOON_S, what)
 
 
-def until_noted(made: Rig, what: str, title: str) -> None:
-    """By a box: a session of that title was asked for, stands or was released there."""
-    until(made, f"{title} {what}", lambda: any(x.told["title"] == title for x in made.record.of(what)))
+def wait_for_event(made: Rig, what: str, title: str) -> None:
+    """Waits until a media server records that event for the title: asked for, established or released."""
+    wait_for(made, f"{title} {what}", lambda: any(x.told["title"] == title for x in made.record.of(what)))
 
 
 @contextmanager
-def held_up(made: Rig, gate: str = "before", noted: str = "asked") -> Iterator[threading.Thread]:
-    """A paid fetch of `t0` at r1 whose set-up the boxes hold up, in the block, once that has been noted."""
+def delayed_set_up(made: Rig, gate: str = "before", noted: str = "asked") -> Iterator[threading.Thread]:
+    """A paid fetch of `t0` at r1 whose set-up the media servers delay; enters once they record `noted`."""
     for box in made.boxes:
         getattr(box, gate).clear()
-    first = later(lambda: play(made, made[1], 0))
-    until_noted(made, noted, "t0")
+    first = in_thread(lambda: play(made, made[1], 0))
+    wait_for_event(made, noted, "t0")
     yield first
     for box in made.boxes:
         getattr(box, gate).set()
 
 
 def test_killed_between_the_send_and_the_answer_a_paid_play_has_failed_for_good(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
-        with held_up(made) as first:
+    with replicating_rig(tmp_path) as made:
+        with delayed_set_up(made) as first:
             made[1].kill()
             first.join(SOON_S)
         assert final(made, made[2], 0)[0] == 502
         assert final(made, made[4], 0)[0] == 502
-        until_noted(made, "released", "t0")
+        wait_for_event(made, "released", "t0")
 
 
 def test_killed_once_the_box_has_it_before_the_viewer_is_told(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
-        with held_up(made, "after", "stands") as first:
+    with replicating_rig(tmp_path) as made:
+        with delayed_set_up(made, "after", "stands") as first:
             made[1].kill()
             first.join(SOON_S)
         assert final(made, made[2], 0)[0] == 502
-        until_noted(made, "released", "t0")
+        wait_for_event(made, "released", "t0")
 
 
 def test_owner_and_one_keeper_killed_and_owner_and_all_keepers(tmp_path: Path) -> None:
-    with keeping(tmp_path, 7) as made:
+    with replicating_rig(tmp_path, 7) as made:
         assert play(made, made[0], 0)[0] == 200
-        told = custody_of(made, 0, 0)
-        keeper = next(x for x in told["keepers"] if x != "r0")
+        record = ownership_of(made, 0, 0)
+        replica = next(x for x in record["keepers"] if x != "r0")
         made[0].kill()
-        made[int(keeper[1:])].kill()
+        made[int(replica[1:])].kill()
         alive = [x for x in made.routers if x.running]
         assert final(made, alive[0], 0)[0] == 200
         until_rostered(made)
         owner = alive[0]
-        told = custody_of(made, owner.number, 0)
-        gone = {owner.name, *told["keepers"]}
+        record = ownership_of(made, owner.number, 0)
+        killed = {owner.name, *record["keepers"]}
         for router in alive:
-            if router.name in gone:
+            if router.name in killed:
                 router.kill()
-        left = [x for x in made.routers if x.running]
+        remaining = [x for x in made.routers if x.running]
         for router in made.routers:
             if not router.running:
                 router.start()
         for router in made.routers:
             router.until_started()
-        # Nobody remembers it: what may have run is never set up again.
-        assert final(made, left[0], 0)[0] == 502
+        # No replica has the record: a set-up that may have run is never sent again.
+        assert final(made, remaining[0], 0)[0] == 502
         assert final(made, made[0], 0)[0] == 502
 
 
-def custody_of(made: Rig, number: int, play_number: int) -> dict[str, Any]:
-    told: dict[str, Any] = console.ask(made[number].ports["admin"], f"custody play-{play_number:08d}")
-    return told
+def ownership_of(made: Rig, number: int, play_number: int) -> dict[str, Any]:
+    answer: dict[str, Any] = console.ask(made[number].ports["admin"], f"custody play-{play_number:08d}")
+    return answer
 
 
 def test_the_owner_that_was_paused_gives_up_what_it_lost(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
+    with replicating_rig(tmp_path) as made:
         assert play(made, made[1], 0)[0] == 200
         made[1].pause()
         assert final(made, made[2], 0)[0] == 200
         made[1].wake()
-        until(made, "it has given the play up", lambda: status(made, 1)["fenced"] >= 1)
+        wait_for(made, "r1 has given the play up", lambda: status(made, 1)["fenced"] >= 1)
         assert play(made, made[2], 0)[0] == 200
         assert not any(made.record.of("released"))
-        assert final(made, made[1], 0)[0] == 200  # handed back by the other's word
+        assert final(made, made[1], 0)[0] == 200  # by a hand-over from r2
         assert status(made, 2)["handed_over"] == 1 and not any(made.record.of("released"))
 
 
 def test_a_set_up_about_to_leave_does_not_after_a_pause(tmp_path: Path) -> None:
-    """Stopped once its intent is kept: its connections are held, so that nothing can have left."""
-    with keeping(tmp_path) as made:
-        with held_up(made) as first:
+    """r1 is paused with its record prepared and replicated; its connections are held, so nothing has left."""
+    with replicating_rig(tmp_path) as made:
+        with delayed_set_up(made) as first:
             made[1].pause()
         code = final(made, made[2], 0)[0]
         assert code == 502
@@ -146,11 +146,11 @@
         first.join(SOON_S)
         answers = [x.told["status"] for x in made.record.of("answer") if x.told["at"] == "r1"]
         assert answers and 200 not in answers
-        until_noted(made, "released", "t0")
+        wait_for_event(made, "released", "t0")
 
 
 def test_two_fetches_at_two_routers_at_once_are_one_set_up(tmp_path: Path) -> None:
-    with keeping(tmp_path, titles=60) as made:
+    with replicating_rig(tmp_path, titles=60) as made:
 
         def both(number: int) -> None:
             with ThreadPoolExecutor(2) as pool:
@@ -164,7 +164,7 @@
 
 
 def test_a_rolling_restart_of_all_ends_no_session(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
+    with replicating_rig(tmp_path) as made:
         for number in range(10):
             assert play(made, made[number % 5], number)[0] == 200
         for router in made.routers:
@@ -178,121 +178,124 @@
         assert sum(status(made, x)["owned"] for x in range(5)) == 10
 
 
-def owners(made: Rig) -> int:
+def owned_records(made: Rig) -> int:
     return sum(status(made, x.number)["owned"] for x in made.routers if x.running)
 
 
-def until_told(made: Rig, what: str, holds: Callable[[], bool]) -> None:
+def poll_until(made: Rig, what: str, holds: Callable[[], bool]) -> None:
     made.poll(what, holds, SOON_S)
 
 
 def test_sessions_over_rtsp_go_on_without_their_viewers_and_end_where_they_went(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
-        wires = []
+    with replicating_rig(tmp_path) as made:
+        connections = []
         for number, kind in ((0, "paid"), (1, "free"), (2, "paid")):
-            wire, answer = set_up(made, made[1], f"{number + 1:016x}", f"t{number}", kind)
+            connection, answer = set_up(made, made[1], f"{number + 1:016x}", f"t{number}", kind)
             assert answer is not None and answer.status == 200
-            wires.append(wire)
-        until_told(made, "all are kept", lambda: owners(made) == 3)
+            connections.append(connection)
+        poll_until(made, "all records are owned", lambda: owned_records(made) == 3)
         made[1].kill()
-        until_told(made, "others have them", lambda: owners(made) == 3)
-        # The viewer comes back with the same set-up: it stands, and is not set up again.
-        wire, answer = set_up(made, made[2], f"{1:016x}", "t0")
+        poll_until(made, "other routers own them", lambda: owned_records(made) == 3)
+        # The viewer repeats its set-up: the session is established already, and is not set up again.
+        connection, answer = set_up(made, made[2], f"{1:016x}", "t0")
         assert answer is not None and answer.status == 200, (answer and answer.start, made.record.tail())
         assert answer.body.startswith(b"made by ")
-        assert owners(made) == 3
+        assert owned_records(made) == 3
         for box in made.boxes:
             for session in list(box.sessions):
                 box.end(session)
-        until_told(made, "their ends are heard", lambda: owners(made) == 0)
+        poll_until(made, "the ends are received", lambda: owned_records(made) == 0)
         assert not any(made.record.of("released"))
 
 
 def test_a_viewer_s_end_that_waited_in_a_paused_router_ends_no_successor_s_session(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
+    with replicating_rig(tmp_path) as made:
         wire, answer = set_up(made, made[1], f"{9:016x}", "t0")
         assert answer is not None and answer.status == 200
         made[1].pause()
         wire.send("TEARDOWN rtsp://media/t0 RTSP/1.0", f"{9:016x}", 2)
         others = [x for x in made.routers if x is not made[1]]
-        until_told(made, "another has it", lambda: sum(status(made, x.number)["owned"] for x in others) == 1)
+        poll_until(
+            made, "another router owns it", lambda: sum(status(made, x.number)["owned"] for x in others) == 1
+        )
         made[1].wake()
-        until(made, "it was away", lambda: bool(made[1].said("away for")))
-        until_told(made, "it gives it up", lambda: status(made, 1)["owned"] == 0)
-        later_kill(made, 1)
+        wait_for(made, "r1 has noticed its pause", lambda: bool(made[1].said("away for")))
+        poll_until(made, "r1 gives the session up", lambda: status(made, 1)["owned"] == 0)
+        kill_and_settle(made, 1)
         assert not any(made.record.of("released")), made.record.tail()
 
 
-def later_kill(made: Rig, number: int) -> None:
-    """What was to come of it before has come by the time that the others hold a roster without it."""
+def kill_and_settle(made: Rig, number: int) -> None:
+    """Once the others have a replica set without the router, all that it sent before has arrived."""
     made[number].kill()
     until_rostered(made)
 
 
 def test_an_owner_that_is_heard_by_nobody_but_viewers_and_boxes(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
+    with replicating_rig(tmp_path) as made:
         assert play(made, made[1], 0)[0] == 200
         others = [x.name for x in made.routers if x is not made[1]]
         made.hub.cut(["r1"], others, both=False)
-        assert play(made, made[1], 0)[0] == 200  # its viewers are served on
+        assert play(made, made[1], 0)[0] == 200  # its own viewers are still served
         assert final(made, made[2], 0)[0] == 200
         refused = play(made, made[1], 1)[0]
-        assert refused == 503, refused  # a new one can't be kept
+        assert refused == 503, refused  # a new play can't be replicated
         made.hub.heal()
-        until_told(made, "it gives up what it lost", lambda: status(made, 1)["owned"] == 0)
+        poll_until(made, "r1 gives up what it lost", lambda: status(made, 1)["owned"] == 0)
         until_rostered(made)
         assert final(made, made[1], 0)[0] == 200 and final(made, made[1], 1)[0] == 200
         assert not any(made.record.of("released"))
 
 
 def test_a_split_with_viewers_on_both_sides(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
+    with replicating_rig(tmp_path) as made:
         for number in range(8):
             assert play(made, made[number % 5], number)[0] == 200
         made.hub.cut(["r0", "r1"], ["r2", "r3", "r4"])
         made.until_agreed(made.routers[2:], SOON_S)
         for number in range(8):
             assert play(made, made[number % 5], number)[0] in (200, 503, 502)
-            assert final(made, made[2 + number % 3], number)[0] in (200, 502)  # unknown where both kept it
+            # 502, its state is unknown, where both cut-off routers were its replicas.
+            assert final(made, made[2 + number % 3], number)[0] in (200, 502)
         assert play(made, made[0], 10)[0] == 503
         served = [x for x in range(10, 16) if final(made, made[3], x)[0] == 200]
         assert served
         made.hub.heal()
         until_rostered(made)
         standing = sum(len(x.sessions) for x in made.boxes)
-        until_told(made, "one owner each", lambda: owners(made) <= standing)
+        poll_until(made, "one owner for each session", lambda: owned_records(made) <= standing)
         assert final(made, made[0], served[0])[0] == 200
 
 
 def test_a_keeper_that_restarts_empty_before_the_owner_is_lost(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
-        with held_up(made) as first:
-            keeper = next(int(x[1:]) for x in custody_of(made, 1, 0)["keepers"] if x != "r1")
-            made[keeper].kill()
-            made[keeper].start()
-            made[keeper].until_started()
+    with replicating_rig(tmp_path) as made:
+        with delayed_set_up(made) as first:
+            replica = next(int(x[1:]) for x in ownership_of(made, 1, 0)["keepers"] if x != "r1")
+            made[replica].kill()
+            made[replica].start()
+            made[replica].until_started()
             made[1].kill()
             first.join(SOON_S)
-        there = next(x for x in made.routers if x.running)
-        assert final(made, there, 0)[0] == 502
+        running = next(x for x in made.routers if x.running)
+        assert final(made, running, 0)[0] == 502
 
 
 def test_a_box_that_drains_while_its_session_is_taken_over(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
+    with replicating_rig(tmp_path) as made:
         assert play(made, made[1], 0)[0] == 200
         assert play(made, made[1], 1, "free")[0] == 200
         drained = [x for x in made.boxes if x.sessions]
         made[1].kill()
         made.tell({box.name: "leaving" for box in drained})
         at = made.record.now()
-        assert final(made, made[3], 0)[0] == 410  # a paid one ends with its box
-        assert final(made, made[3], 1, "free")[0] == 200  # a repeatable one is set up elsewhere
+        assert final(made, made[3], 0)[0] == 410  # a paid session ends with its media server
+        assert final(made, made[3], 1, "free")[0] == 200  # a repeatable session is set up elsewhere
         late = [x for x in made.record.of("asked", since_ms=at + 250.0) if x.who in {y.name for y in drained}]
         assert not late, late
 
 
 def test_a_promise_of_one_router_is_honoured_by_another_and_claimed_once(tmp_path: Path) -> None:
-    small = {**SETTINGS["specifics"], "placesByKind": [2], "cells": 1}
+    settings = {**SETTINGS["specifics"], "placesByKind": [2], "cells": 1}
     tables = f'[door]\nkey = "{"d" * 32}"\nquote_most_s = 600\n[custody]\nrouters = 3\n'
     with rig(
         tmp_path,
@@ -301,13 +304,13 @@
         tables=tables,
         program=guards.program(),
         gated=False,
-        specifics=small,
+        specifics=settings,
     ) as made:
         until_rostered(made)
 
-        def ask(at: int, session: int, ticket: str = "") -> Message:
+        def set_up_at(at: int, session: int, token: str = "") -> Message:
             wire = Wire(socket.create_connection(made[at].ports["listening"], WAIT_S))
-            more: dict[str, Any] = {"X_Ticket": ticket} if ticket else {}
+            headers: dict[str, Any] = {"X_Ticket": token} if token else {}
             wire.send(
                 "SETUP rtsp://media/7f3a RTSP/1.0",
                 f"{session:016x}",
@@ -315,30 +318,32 @@
                 X_Ring_Limit="1000",
                 X_Guess="60000.0",
                 X_Dest=f"home:0;copies:1;top:0;viewer:{min(session, 3):016x}",
-                **more,
+                **headers,
             )
-            told = wire.read()
+            answer = wire.read()
             wire.close()
-            assert told is not None
-            return told
+            assert answer is not None
+            return answer
 
-        def kept(at: int) -> int:
+        def kept_reservations(at: int) -> int:
             return sum(int(row["kept"]) for row in made[at].status()["clients"])
 
-        assert [ask(0, 1).status, ask(0, 2).status] == [200, 200]
-        refused = ask(0, 3)
+        assert [set_up_at(0, 1).status, set_up_at(0, 2).status] == [200, 200]
+        refused = set_up_at(0, 3)
         assert refused.status == 503
-        ticket = refused.headers["x-ticket"]
-        assert ask(1, 4, ticket).status == 200 and kept(1) == 1  # that router has room: it is let in on it
-        assert ask(2, 5, ticket).status == 200 and kept(2) == 0  # let in as anybody: there is room
-        assert ask(0, 6, ticket).status == 503 and kept(0) == 0
+        token = refused.headers["x-ticket"]
+        # Admitted on the reservation: that router has spare capacity.
+        assert set_up_at(1, 4, token).status == 200 and kept_reservations(1) == 1
+        # Admitted without it, as it is claimed already: there is spare capacity.
+        assert set_up_at(2, 5, token).status == 200 and kept_reservations(2) == 0
+        assert set_up_at(0, 6, token).status == 503 and kept_reservations(0) == 0
 
 
 def test_killed_before_its_intent_is_kept_a_paid_set_up_is_a_new_one_elsewhere(tmp_path: Path) -> None:
-    with keeping(tmp_path) as made:
+    with replicating_rig(tmp_path) as made:
         made.hub.cut(["r1"], [x.name for x in made.routers if x is not made[1]])
-        first = later(lambda: play(made, made[1], 0))
-        until(made, "it was asked for", lambda: bool(made.record.of("fault")))
+        first = in_thread(lambda: play(made, made[1], 0))
+        wait_for(made, "a fault is recorded", lambda: bool(made.record.of("fault")))
         made[1].kill()
         first.join(SOON_S)
         made.hub.heal()
@@ -347,14 +352,14 @@
 
 
 def test_killed_with_its_set_up_on_the_way_to_the_box(tmp_path: Path) -> None:
-    """Between the intent and the box: what left is lost, and nobody else sends it."""
-    with keeping(tmp_path) as made:
+    """The set-up was sent but never reaches a media server: it is lost, and no successor sends it again."""
+    with replicating_rig(tmp_path) as made:
         made.hub.cut(["r1"], [x.name for x in made.boxes])
         session = f"{7:016x}"
-        first = later(lambda: set_up(made, made[1], session, "t0"))
-        until_told(
+        first = in_thread(lambda: set_up(made, made[1], session, "t0"))
+        poll_until(
             made,
-            "its intent is kept",
+            "its prepared record is replicated",
             lambda: any(
                 console.ask(x.ports["admin"], f"custody {session}").get("found")
                 for x in made.routers
@@ -364,7 +369,7 @@
         made[1].kill()
         first.join(SOON_S)
         deadline = time.monotonic() + SOON_S
-        while True:  # until its owner's lease is over
+        while True:  # until the owner's lease is over
             wire, answer = set_up(made, made[2], session, "t0")
             wire.close()
             assert answer is not None and time.monotonic() < deadline
--- a/tests/test_lab_store.py
+++ b/tests/test_lab_store.py
@@ -1,4 +1,4 @@
-"""All routers of a room restart at once, with their folders whole, lost, old or cloned: real processes."""
+"""All routers restart at once, with complete, lost, outdated or cloned folders, as real processes."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from tests import guards
 
 
-def folder(router: Router) -> Path:
+def store_folder(router: Router) -> Path:
     return router.folder / "store"
 
 
 @contextmanager
-def storing(path: Path, count: int = 5, titles: int = 20) -> Iterator[Rig]:
-    """No paid play may be set up twice, whatever a test does."""
+def rig_with_stores(path: Path, count: int = 5, titles: int = 20) -> Iterator[Rig]:
+    """Routers with stores; at the end, no paid play may have been set up twice."""
     with viewers.keeping(path, count, titles, idle_s=120.0, program=guards.program(), stores=True) as made:
         yield made
-        twice = {title: n for title, n in set_ups(made.record).items() if n > 1}
-        assert not twice, (twice, made.record.tail(100))
+        repeated = {title: n for title, n in set_ups(made.record).items() if n > 1}
+        assert not repeated, (repeated, made.record.tail(100))
 
 
-def store_of(router: Router) -> dict[str, Any]:
-    told: dict[str, Any] = viewers.custody_of(router)["store"]
-    return told
+def store_status(router: Router) -> dict[str, Any]:
+    status: dict[str, Any] = viewers.custody_of(router)["store"]
+    return status
 
 
-def begin(made: Rig, routers: list[Router]) -> None:
+def start_all(made: Rig, routers: list[Router]) -> None:
     for router in routers:
         router.start()
     for router in routers:
@@ -42,27 +42,27 @@
     until_rostered(made)
 
 
-def told(made: Rig, plays: range) -> None:
+def set_up_plays(made: Rig, plays: range) -> None:
     for number in plays:
         code, text = final(made, made[number % len(made.routers)], number)
         assert code == 200, (code, text, made.record.tail(150))
 
 
 def test_all_killed_at_once_and_every_paid_play_goes_on(tmp_path: Path) -> None:
-    with storing(tmp_path) as made:
-        told(made, range(20))
+    with rig_with_stores(tmp_path) as made:
+        set_up_plays(made, range(20))
         for router in made.routers:
             router.kill()
-        begin(made, made.routers)
-        assert all(store_of(x)["state"] == "whole" for x in made.routers)
+        start_all(made, made.routers)
+        assert all(store_status(x)["state"] == "whole" for x in made.routers)
         for number in range(20):
             code, text = final(made, made[(number + 2) % 5], number)
             assert code == 200, (number, code, text, made.record.tail(100))
 
 
 def test_killed_again_in_the_middle_of_the_return(tmp_path: Path) -> None:
-    with storing(tmp_path) as made:
-        told(made, range(10))
+    with rig_with_stores(tmp_path) as made:
+        set_up_plays(made, range(10))
         for router in made.routers:
             router.kill()
         for router in made.routers:
@@ -71,39 +71,41 @@
             router.until_started()
         for router in made.routers[:3]:
             router.kill()
-        begin(made, made.routers[:3])
+        start_all(made, made.routers[:3])
         for number in range(10):
             code, text = final(made, made[number % 5], number)
             assert code == 200, (number, code, text, made.record.tail(100))
 
 
 def test_one_empty_one_old_and_one_cloned_folder_are_told_from_whole_ones(tmp_path: Path) -> None:
-    with storing(tmp_path, 7) as made:
-        told(made, range(7))
+    with rig_with_stores(tmp_path, 7) as made:
+        set_up_plays(made, range(7))
         made[1].terminate()
-        shutil.copytree(folder(made[1]), tmp_path / "old")
-        begin(made, [made[1]])
-        told(made, range(7, 14))
-        made.poll("marks are told", lambda: all(store_of(x)["waiting"] == 0 for x in made.routers), SOON_S)
+        shutil.copytree(store_folder(made[1]), tmp_path / "old")
+        start_all(made, [made[1]])
+        set_up_plays(made, range(7, 14))
+        made.poll(
+            "all rows are durable", lambda: all(store_status(x)["waiting"] == 0 for x in made.routers), SOON_S
+        )
         for router in made.routers:
             router.kill()
-        shutil.rmtree(folder(made[0]))
-        shutil.rmtree(folder(made[1]))
-        shutil.copytree(tmp_path / "old", folder(made[1]))
-        shutil.rmtree(folder(made[2]))
-        shutil.copytree(folder(made[3]), folder(made[2]))
+        shutil.rmtree(store_folder(made[0]))
+        shutil.rmtree(store_folder(made[1]))
+        shutil.copytree(tmp_path / "old", store_folder(made[1]))
+        shutil.rmtree(store_folder(made[2]))
+        shutil.copytree(store_folder(made[3]), store_folder(made[2]))
         for router in made.routers:
             router.start()
         for router in made.routers:
             router.until_started()
-        keeping = [x for x in made.routers if x is not made[2]]
-        made.record.until(lambda: all(votes(made, x) for x in keeping), SOON_S, "all others vote")
-        states = [store_of(x)["state"] for x in made.routers]
+        voters = [x for x in made.routers if x is not made[2]]
+        made.record.until(lambda: all(votes(made, x) for x in voters), SOON_S, "all others vote")
+        states = [store_status(x)["state"] for x in made.routers]
         assert states == ["forgot", "forgot", "out", "whole", "whole", "whole", "whole"], states
         assert made[1].said("is older than what") and made[2].said("belongs to r3, not to r2")
         for number in range(14):
-            final(made, made[3], number)  # answered, and nothing set up twice
-        assert final(made, made[2], 15, "free")[0] == 200  # a paid one may be unknown for a while
+            final(made, made[3], number)  # it is answered, and nothing is set up twice
+        assert final(made, made[2], 15, "free")[0] == 200  # a paid play may be unknown for a while
 
 
 def votes(made: Rig, router: Router) -> bool:
@@ -114,12 +116,12 @@
 
 
 def test_a_folder_that_vanishes_under_way_takes_its_router_out_and_nothing_else(tmp_path: Path) -> None:
-    with storing(tmp_path) as made:
-        told(made, range(5))
-        shutil.rmtree(folder(made[1]))
-        told(made, range(5, 10))  # some of these are kept there, and find it out
+    with rig_with_stores(tmp_path) as made:
+        set_up_plays(made, range(5))
+        shutil.rmtree(store_folder(made[1]))
+        set_up_plays(made, range(5, 10))  # r1 holds replicas of some, and finds its folder gone
         made.record.until(lambda: bool(made[1].said("keeps nothing for others")), SOON_S, "r1 is out")
-        assert store_of(made[1])["state"] == "out"
+        assert store_status(made[1])["state"] == "out"
         for number in range(10, 15):
             code, text = final(made, made[number % 5], number)
             assert code == 200, (code, text, made.record.tail(100))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""A folder that outlives restarts: what is believed after cuts, flipped bits, failed writes and syncs."""
+"""The store's folder over restarts: contents that are cut off or damaged, and failed writes and syncs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from cloverhinge.ownership.replica_store import ReplicaStore
 from cloverhinge.ownership.wire import Member
 from cloverhinge.store import NO_MARK, Judge, Mark, StoreVerdict, Witness
-from cloverhinge.store import rows as form
+from cloverhinge.store import rows as row_format
 from cloverhinge.store.folder import DATABASE_FILE, Folder, UnusableStoreError
 from cloverhinge.store.writer import Writer
 
@@ -27,26 +27,26 @@
 
 
 def filled(path: Path, commits: int = 6) -> list[dict[str, bytes]]:
-    """The contents after each commit of a small folder that was ended well."""
+    """Fills a small folder and closes it properly; the contents after each commit."""
     folder, states = Folder(path, "r0"), [dict[str, bytes]()]
     folder.open()
     for number in range(commits):
         rows: Row = {f"s/{number}": b"value" * 9, f"s/{number - 2}": None, "roster": b"%d" % number}
         folder.commit(rows)
-        now = {**states[-1], **{x: y for x, y in rows.items() if y is not None}}
-        states.append({x: y for x, y in now.items() if rows.get(x, b"") is not None})
+        current = {**states[-1], **{x: y for x, y in rows.items() if y is not None}}
+        states.append({x: y for x, y in current.items() if rows.get(x, b"") is not None})
     folder.close()
     return states
 
 
-def test_a_folder_comes_back_as_it_was_and_each_start_has_a_later_mark(tmp_path: Path) -> None:
+def test_a_reopened_folder_has_its_contents_and_a_later_mark(tmp_path: Path) -> None:
     states = filled(tmp_path)
     marks = []
     for _ in range(3):
         folder = Folder(tmp_path, "r0")
-        told = folder.open()
-        assert told.rows == states[-1] and not told.void_reason and told.claim < told.mark
-        marks.append(told.mark)
+        contents = folder.open()
+        assert contents.rows == states[-1] and not contents.void_reason and contents.claim < contents.mark
+        marks.append(contents.mark)
         folder.close()
     assert marks == sorted(set(marks)) and [x.generation for x in marks] == [2, 3, 4]
 
@@ -60,19 +60,19 @@
     first.close()
     with pytest.raises(UnusableStoreError, match="belongs to r0, not to r1"):
         Folder(tmp_path, "r1").open()
-    body = msgspec.msgpack.encode((form.FORMAT_VERSION + 1, "r0", 1, 1, 0, 0, "something new"))
-    newer = body + form.row_checksum("", body).to_bytes(8, "big")
-    base = apsw.Connection(str(tmp_path / DATABASE_FILE))
-    base.execute("update head set value = ?", (newer,))
-    base.close()
+    body = msgspec.msgpack.encode((row_format.FORMAT_VERSION + 1, "r0", 1, 1, 0, 0, "something new"))
+    newer = body + row_format.row_checksum("", body).to_bytes(8, "big")
+    connection = apsw.Connection(str(tmp_path / DATABASE_FILE))
+    connection.execute("update head set value = ?", (newer,))
+    connection.close()
     before = (tmp_path / DATABASE_FILE).read_bytes()
     with pytest.raises(UnusableStoreError, match="version 2"):
         Folder(tmp_path, "r0").open()
-    assert (tmp_path / DATABASE_FILE).read_bytes() == before  # nothing in it was touched
+    assert (tmp_path / DATABASE_FILE).read_bytes() == before  # the file was not changed
 
 
 class Unsynced(apsw.VFS):
-    """Sqlite's own file system without its syncs, for tests that open a folder thousands of times."""
+    """Sqlite's default VFS without its syncs, for tests that open a folder thousands of times."""
 
     def xOpen(self, name: Any, flags: Any) -> Any:
         return UnsyncedFile("", name, flags)
@@ -92,70 +92,70 @@
 
 @pytest.mark.parametrize("part", range(8))
 def test_a_flipped_bit_anywhere_is_never_believed(tmp_path: Path, unsynced: str, part: int) -> None:
-    """Either nothing that is believed has changed, or the folder is void."""
+    """Either the contents are unchanged, or the folder is void."""
     states = filled(tmp_path / "whole", 3)
-    told = (tmp_path / "whole" / DATABASE_FILE).read_bytes()
+    original = (tmp_path / "whole" / DATABASE_FILE).read_bytes()
     copy = tmp_path / "copy"
     copy.mkdir()
-    void = 0
-    for at in range(part, len(told), 8):
+    void_count = 0
+    for at in range(part, len(original), 8):
         for name in (f"{DATABASE_FILE}-wal", f"{DATABASE_FILE}-shm"):
             (copy / name).unlink(missing_ok=True)
-        (copy / DATABASE_FILE).write_bytes(told[:at] + bytes([told[at] ^ 1 << at // 8 % 8]) + told[at + 1 :])
+        (copy / DATABASE_FILE).write_bytes(
+            original[:at] + bytes([original[at] ^ 1 << at // 8 % 8]) + original[at + 1 :]
+        )
         folder = Folder(copy, "r0", unsynced)
         try:
-            found = folder.open()
-        except (
-            UnusableStoreError
-        ) as error:  # the head's check holds, so it can't be of another owner or version
+            contents = folder.open()
+        except UnusableStoreError as error:  # the head's checksum detects a changed owner or version
             assert "can't be written" in str(error)
             continue
         finally:
             folder.close()
-        void += bool(found.void_reason)
-        assert found.rows == ({} if found.void_reason else states[-1]), (at, found)
-        assert found.claim == NO_MARK if found.void_reason else found.claim != NO_MARK
-    assert void > 30  # the rows' own bytes at least
+        void_count += bool(contents.void_reason)
+        assert contents.rows == ({} if contents.void_reason else states[-1]), (at, contents)
+        assert contents.claim == NO_MARK if contents.void_reason else contents.claim != NO_MARK
+    assert void_count > 30  # those in the rows' own bytes at least
 
 
-def test_a_tail_that_is_cut_anywhere_shows_an_earlier_mark_or_void(tmp_path: Path, unsynced: str) -> None:
-    """What was cut off shows in the mark, which others have heard."""
+def test_a_wal_that_is_cut_anywhere_shows_an_earlier_mark_or_is_void(tmp_path: Path, unsynced: str) -> None:
+    """A cut changes the mark, so that others, who have received the later one, can detect it."""
     folder = Folder(tmp_path / "whole", "r0")
     folder.open()
     states = {folder.commit({}): dict[str, bytes]()}
-    held: dict[str, bytes] = {}
+    rows: dict[str, bytes] = {}
     for number in range(4):
-        held = {**held, f"s/{number}": b"v" * 20}
-        states[folder.commit({f"s/{number}": b"v" * 20})] = held
+        rows = {**rows, f"s/{number}": b"v" * 20}
+        states[folder.commit({f"s/{number}": b"v" * 20})] = rows
     wal = (tmp_path / "whole" / f"{DATABASE_FILE}-wal").read_bytes()
-    base = (tmp_path / "whole" / DATABASE_FILE).read_bytes()
+    database = (tmp_path / "whole" / DATABASE_FILE).read_bytes()
     folder.close()
-    seen = set()
+    seen_marks = set()
     for cut in (*range(0, len(wal), 61), len(wal)):
         copy = tmp_path / "copy"
         shutil.rmtree(copy, ignore_errors=True)
         copy.mkdir()
-        (copy / DATABASE_FILE).write_bytes(base)
+        (copy / DATABASE_FILE).write_bytes(database)
         (copy / f"{DATABASE_FILE}-wal").write_bytes(wal[:cut])
-        other = Folder(copy, "r0", unsynced)
-        found = other.open()
-        other.close()
-        if found.claim != NO_MARK and found.claim.position > 1:
-            assert found.rows == states[found.claim], cut
-        seen.add(found.claim)
-    assert max(states) in seen and len(seen) >= 5
+        reopened = Folder(copy, "r0", unsynced)
+        contents = reopened.open()
+        reopened.close()
+        if contents.claim != NO_MARK and contents.claim.position > 1:
+            assert contents.rows == states[contents.claim], cut
+        seen_marks.add(contents.claim)
+    assert max(states) in seen_marks and len(seen_marks) >= 5
 
 
 class Faulty(apsw.VFS):
-    """Sqlite's own file system, in which the write or sync number `fails` does, and all after it."""
+    """Sqlite's default VFS, in which the write or sync of a given number fails, and all after it."""
 
-    def __init__(self, name: str, fails: int) -> None:
-        self.fails, self.count = fails, 0
+    def __init__(self, name: str, first_fault: int) -> None:
+        self.first_fault, self.count = first_fault, 0
         super().__init__(name, "")
 
-    def step(self) -> None:
+    def count_call(self) -> None:
         self.count += 1
-        if self.count >= self.fails:
+        if self.count >= self.first_fault:
             raise apsw.IOError("injected")
 
     def xOpen(self, name: Any, flags: Any) -> Any:
@@ -168,27 +168,27 @@
         super().__init__("", name, flags)
 
     def xWrite(self, data: Any, offset: int) -> None:
-        self.vfs.step()
+        self.vfs.count_call()
         super().xWrite(data, offset)
 
     def xSync(self, flags: int) -> None:
-        self.vfs.step()
+        self.vfs.count_call()
         super().xSync(flags)
 
 
-def test_a_fault_at_every_write_and_sync_loses_nothing_that_was_safe(tmp_path: Path) -> None:
-    fails = ended = 0
-    while not ended:
-        fails += 1
-        path = tmp_path / str(fails)
-        vfs = Faulty(f"faulty-{fails}", fails)
-        folder, safe = Folder(path, "r0", f"faulty-{fails}"), -1
+def test_a_fault_at_any_write_or_sync_loses_no_committed_rows(tmp_path: Path) -> None:
+    fault_number = finished = 0
+    while not finished:
+        fault_number += 1
+        path = tmp_path / str(fault_number)
+        vfs = Faulty(f"faulty-{fault_number}", fault_number)
+        folder, last_durable = Folder(path, "r0", f"faulty-{fault_number}"), -1
         try:
             folder.open()
             for number in range(4):
                 folder.commit({f"s/{number}": b"v" * 30})
-                safe = number
-            ended = 1
+                last_durable = number
+            finished = 1
         except UnusableStoreError as error:
             assert "can't be written" in str(error), error
             with pytest.raises(UnusableStoreError):
@@ -196,14 +196,18 @@
         finally:
             folder.close()
         vfs.unregister()
-        again = Folder(path, "r0")
-        found = again.open()
-        again.close()
-        if not found.void_reason:
-            assert found.rows.keys() >= {f"s/{x}" for x in range(safe + 1)}, (fails, safe, found)
+        reopened = Folder(path, "r0")
+        contents = reopened.open()
+        reopened.close()
+        if not contents.void_reason:
+            assert contents.rows.keys() >= {f"s/{x}" for x in range(last_durable + 1)}, (
+                fault_number,
+                last_durable,
+                contents,
+            )
         else:
-            assert safe < 0, (fails, found)
-    assert fails > 10
+            assert last_durable < 0, (fault_number, contents)
+    assert fault_number > 10
 
 
 def test_a_vanished_folder_ends_the_keeping(tmp_path: Path) -> None:
@@ -219,83 +223,89 @@
     folder.close()
 
 
-def test_what_comes_during_a_commit_is_in_the_next_and_a_late_disk_has_failed(tmp_path: Path) -> None:
+def test_rows_put_during_a_commit_are_in_the_next_and_a_slow_disk_fails(tmp_path: Path) -> None:
     folder = Folder(tmp_path, "r0")
     folder.open()
-    told: list[tuple[int, Mark]] = []
-    done, go, begun = threading.Semaphore(0), threading.Semaphore(0), threading.Semaphore(0)
+    commits: list[tuple[int, Mark]] = []
+    called, may_commit, commit_started = (
+        threading.Semaphore(0),
+        threading.Semaphore(0),
+        threading.Semaphore(0),
+    )
     commit = folder.commit
     sizes: list[int] = []
 
-    def slow(rows: form.Rows, above: Mark = NO_MARK) -> Mark:
-        begun.release()
-        assert go.acquire(timeout=10)
+    def slow_commit(rows: row_format.Rows, above: Mark = NO_MARK) -> Mark:
+        commit_started.release()
+        assert may_commit.acquire(timeout=10)
         sizes.append(len(rows))
         return commit(rows, above)
 
-    folder.commit = slow  # type: ignore[method-assign]
+    folder.commit = slow_commit  # type: ignore[method-assign]
     failures: list[str] = []
 
-    def call(what: Callable[..., None], *about: Any) -> None:
-        what(*about)
-        done.release()
+    def call(callback: Callable[..., None], *arguments: Any) -> None:
+        callback(*arguments)
+        called.release()
 
-    writer = Writer(folder, call, lambda number, mark, ms: told.append((number, mark)), failures.append)
+    writer = Writer(folder, call, lambda number, mark, ms: commits.append((number, mark)), failures.append)
     writer.put(1, {"a": b"1"})
-    assert begun.acquire(timeout=10)
+    assert commit_started.acquire(timeout=10)
     for number in range(2, 50):
         writer.put(number, {f"k{number}": b"2", "a": b"%d" % number})
-    go.release()
-    go.release()
-    assert done.acquire(timeout=10) and done.acquire(timeout=10)
-    assert [x for x, _ in told] == [1, 49] and sizes == [1, 49] and told[0][1] < told[1][1]
+    may_commit.release()
+    may_commit.release()
+    assert called.acquire(timeout=10) and called.acquire(timeout=10)
+    assert [x for x, _ in commits] == [1, 49] and sizes == [1, 49] and commits[0][1] < commits[1][1]
     writer.put(50, {f"x{n}": b"" for n in range(60_000)})
-    assert begun.acquire(timeout=10) and begun.acquire(timeout=10)
+    assert commit_started.acquire(timeout=10) and commit_started.acquire(timeout=10)
     writer.put(51, {f"y{n}": b"" for n in range(60_000)})
     writer.put(52, {f"z{n}": b"" for n in range(60_000)})
-    go.release()
-    assert done.acquire(timeout=10) and done.acquire(timeout=10)
-    assert len(told) == 3 and "too slow" in failures[0]
+    may_commit.release()
+    assert called.acquire(timeout=10) and called.acquire(timeout=10)
+    assert len(commits) == 3 and "too slow" in failures[0]
     writer.close()
 
 
-def test_rows_that_are_not_known_keep_a_router_out_and_stay_untouched(tmp_path: Path) -> None:
+def test_unknown_rows_make_the_store_unusable_and_stay_unchanged(tmp_path: Path) -> None:
     folder = Folder(tmp_path, "r0")
     folder.open()
     folder.commit({"s/h/1": b"of another form"})
     folder.close()
-    shelf = ReplicaStore(
-        tmp_path, Member("r0", 1), lambda *about: None, lambda *about: None, lambda why: None
+    store = ReplicaStore(
+        tmp_path, Member("r0", 1), lambda *arguments: None, lambda *arguments: None, lambda why: None
     )
-    assert shelf.persistence.state is StoreState.OUT and "does not know" in shelf.persistence.unusable_reason
-    assert shelf.writer is None and Folder(tmp_path, "r0").open().rows == {"s/h/1": b"of another form"}
+    assert store.persistence.state is StoreState.OUT and "does not know" in store.persistence.unusable_reason
+    assert store.writer is None and Folder(tmp_path, "r0").open().rows == {"s/h/1": b"of another form"}
 
 
-# What others' words prove
+# The check by other routers' answers
 
 marks = st.builds(Mark, st.integers(1, 4), st.integers(1, 6))
 
 
 @given(st.lists(marks, min_size=1), marks)
-def test_a_witness_allows_a_claim_only_where_nothing_later_was_heard(heard: list[Mark], claim: Mark) -> None:
+def test_a_witness_allows_a_claim_only_where_nothing_later_was_heard(
+    received: list[Mark], claim: Mark
+) -> None:
     witness = Witness()
-    for mark in heard:
+    for mark in received:
         witness.note("r0", mark)
-    assert witness.allows("r0", claim) == (max(heard) <= claim)
+    assert witness.allows("r0", claim) == (max(received) <= claim)
     assert witness.allows("r1", claim)
 
 
 @given(st.integers(1, 9), st.lists(st.tuples(st.integers(0, 9), st.booleans(), st.booleans())))
 def test_a_store_is_whole_only_by_most_of_its_roster_and_behind_by_any(
-    count: int, words: list[tuple[int, bool, bool]]
+    count: int, answers: list[tuple[int, bool, bool]]
 ) -> None:
     claim, names = Mark(2, 7), [f"r{x}" for x in range(count)]
     judge = Judge("r0", claim, names)
     counted: dict[int, bool] = {}
-    for who, allows, late in words:
-        judge.add_answer(f"r{who}", Mark(1, 7) if late else claim, allows)
-        if not late and 0 < who < count:
-            counted[who] = counted.get(who, True) and allows
+    for router, allows, earlier_run in answers:
+        judge.add_answer(f"r{router}", Mark(1, 7) if earlier_run else claim, allows)
+        if not earlier_run and 0 < router < count:
+            counted[router] = counted.get(router, True) and allows
     if not all(counted.values()):
         assert judge.verdict is StoreVerdict.BEHIND
     else:
@@ -303,17 +313,17 @@
 
 
 @given(st.lists(st.dictionaries(st.sampled_from("abcd"), st.none() | st.binary(max_size=3)), max_size=9))
-def test_the_sum_follows_each_change(commits: list[Row]) -> None:
-    head, held, checks = form.Head(1, "r0", 1, 0, 0, 0), dict[str, bytes](), dict[str, int]()
+def test_the_checksum_follows_each_change(commits: list[Row]) -> None:
+    head, rows_now, checks = row_format.Head(1, "r0", 1, 0, 0, 0), dict[str, bytes](), dict[str, int]()
     for rows in commits:
-        head, after = form.apply_changes(head, checks, rows)
+        head, after = row_format.apply_changes(head, checks, rows)
         for key, value in rows.items():
             if value is None:
-                held.pop(key, None)
+                rows_now.pop(key, None)
             else:
-                held[key] = value
+                rows_now[key] = value
         checks = {x: y for x, y in {**checks, **after}.items() if y is not None}
-        assert head.checksum == form.total_checksum(
-            form.row_checksums(held.items()).values()
-        ) and head.row_count == len(held)
-    assert form.decode_head(form.encode_head(head)) == head
+        assert head.checksum == row_format.total_checksum(
+            row_format.row_checksums(rows_now.items()).values()
+        ) and head.row_count == len(rows_now)
+    assert row_format.decode_head(row_format.encode_head(head)) == head
