--- a/cloverhinge/ownership/component.py
+++ b/cloverhinge/ownership/component.py
@@ -185,7 +185,7 @@
             if work is not None:
                 session = decode(work) or ReplicatedSession("", "", "")
                 server = self.router.listings.get(session.server)
-                box = "" if server is None else f"s-{server.server:08x}"
+                server_name = "" if server is None else f"s-{server.server:08x}"
                 return {
                     "found": True,
                     "phase": work.phase.name.lower(),
@@ -196,7 +196,7 @@
                     "class": session.class_name,
                     "title": session.title,
                     "session": session.session_id,
-                    "box": box,
+                    "box": server_name,
                     "mine": id in self.core.owned,
                 }
         return {
--- a/cloverhinge/ownership/persistence.py
+++ b/cloverhinge/ownership/persistence.py
@@ -275,11 +275,11 @@
     def on_claim_answer(self, name: str, answer: wire.StoreClaimAnswer) -> StoreVerdict:
         """Takes another router's answer on this store; returns the verdict so far."""
         if self.judge is None:
-            self._above = max(self._above, Mark(answer.heard_generation, answer.heard_position))
+            self._above = max(self._above, Mark(answer.latest_generation, answer.latest_position))
             return StoreVerdict.WAITING
         self.judge.add_answer(name, Mark(answer.generation, answer.position), answer.allows)
         if self.judge.verdict is StoreVerdict.BEHIND:
-            self._above = max(self._above, Mark(answer.heard_generation, answer.heard_position))
+            self._above = max(self._above, Mark(answer.latest_generation, answer.latest_position))
         return self.judge.verdict
 
     def conclude(self, whole: bool) -> RestoredState | None:
--- a/cloverhinge/ownership/wire.py
+++ b/cloverhinge/ownership/wire.py
@@ -250,7 +250,7 @@
 class HandOverRefused(Item, tag=19, frozen=True):
     """The record is not handed over.
 
-    `set_up_pending`: its set-up is under way, ask again later; otherwise the receiver does not own it.
+    `set_up_pending`: its set-up is under way, ask again later; otherwise the sender does not own it.
     """
 
     id: RecordId
@@ -306,8 +306,8 @@
     generation: Number
     position: Number
     allows: bool
-    heard_generation: Number
-    heard_position: Number
+    latest_generation: Number
+    latest_position: Number
 
 
 Items = (
