--- a/cloverhinge/admission/replicated_reservations.py
+++ b/cloverhinge/admission/replicated_reservations.py
@@ -12,10 +12,10 @@
 from cloverhinge.admission.gateway import AdmissionGateway
 from cloverhinge.admission.reservations import Reservation
 from cloverhinge.core.model import Request
-from cloverhinge.ownership.component import Part
+from cloverhinge.ownership.component import OwnershipComponent
 from cloverhinge.ownership.model import Verdict
 from cloverhinge.ownership.register import Phase, Work
-from cloverhinge.ownership.replicated_work import Kept
+from cloverhinge.ownership.replicated_work import ReplicatedSession
 
 RECORD_PREFIX = "d"
 REPLICA_TIMEOUT_MS = 250.0  # for the replicas to answer; admission of the viewer waits no longer for them
@@ -28,10 +28,12 @@
     Records are retained as long as a reservation can be claimed.
     """
 
-    def __init__(self, part: Part, gateway: AdmissionGateway, max_retry_after_ms: float) -> None:
-        self.part = part
+    def __init__(
+        self, ownership: OwnershipComponent, gateway: AdmissionGateway, max_retry_after_ms: float
+    ) -> None:
+        self.ownership = ownership
         gateway.claims = self
-        part.serve(RECORD_PREFIX, self, max_retry_after_ms + MAX_WINDOW_MS)
+        ownership.add_front(RECORD_PREFIX, self, max_retry_after_ms + MAX_WINDOW_MS)
 
     # `ClaimPort` of the gateway
 
@@ -40,15 +42,15 @@
 
         def answered(verdict: Verdict, work: Work | None) -> None:
             may_claim = verdict in (Verdict.NEW, Verdict.TAKEN_OVER)
-            callback(may_claim or verdict is Verdict.UNREPLICATED and self.part.site.serve)
+            callback(may_claim or verdict is Verdict.UNREPLICATED and self.ownership.site.serve)
 
-        work_data = Kept("", "", f"{reservation.viewer:x}")
-        self.part.claim(
+        session = ReplicatedSession("", "", f"{reservation.viewer:x}")
+        self.ownership.claim(
             self._id(reservation),
             True,
-            work_data,
+            session,
             REPLICA_TIMEOUT_MS,
-            self.part.clock.now() + HAND_OVER_TIMEOUT_MS,
+            self.ownership.clock.now() + HAND_OVER_TIMEOUT_MS,
             answered,
         )
 
@@ -56,11 +58,11 @@
         """End the record of a claimed reservation; otherwise keep it until the reservation expires."""
         id = self._id(reservation)
         if claimed:
-            self.part.end(id)
+            self.ownership.end(id)
         else:
-            self.part.change(id, Phase.STANDS)
-            self.part.deadlines.after(
-                max(0.0, reservation.expires_ms - self.part.clock.now()), lambda: self.part.end(id)
+            self.ownership.update_phase(id, Phase.STANDS)
+            self.ownership.deadlines.after(
+                max(0.0, reservation.expires_ms - self.ownership.clock.now()), lambda: self.ownership.end(id)
             )
 
     @staticmethod
@@ -68,26 +70,26 @@
         # With the viewer, as two routers that start in the same millisecond use the same serials.
         return f"{RECORD_PREFIX}/{reservation.serial:x}.{reservation.viewer:x}"
 
-    # `Wire` of ownership
+    # `FrontAdapter` of ownership
 
-    def own_name(self, text: str) -> str:
+    def record_name(self, text: str) -> str:
         """The name as given."""
         return text
 
-    def adopt(self, id: str, work_data: Kept) -> bool:
+    def adopt(self, id: str, session: ReplicatedSession) -> bool:
         """Always possible: the viewer's token has all the data."""
         return True
 
-    def held(self, id: str) -> Request | None:
+    def request_of(self, id: str) -> Request | None:
         """None: no request belongs to a record."""
         return None
 
-    def wanted(self, id: str) -> bool:
+    def has_client(self, id: str) -> bool:
         """True for every record."""
         return True
 
-    def lost(self, id: str) -> None:
+    def ownership_lost(self, id: str) -> None:
         """Nothing to do: the new owner honours the reservation."""
 
-    def let_go(self, work_data: Kept) -> None:
+    def release_leftover(self, session: ReplicatedSession) -> None:
         """Nothing to do: a reservation uses no media server."""
--- a/cloverhinge/node.py
+++ b/cloverhinge/node.py
@@ -143,10 +143,11 @@
             self.components.append(self.members)
         self.ownership: Any = None  # if sessions are replicated to other routers
         if site.custody is not None:
-            from cloverhinge.ownership.component import Part as Ownership  # loaded only if it is on
-            from cloverhinge.rtsp.replicated_sessions import KeptSessions
+            # Loaded only where routers hold replicas of each other's work.
+            from cloverhinge.ownership.component import OwnershipComponent
+            from cloverhinge.rtsp.replicated_sessions import ReplicatedSessions
 
-            self.ownership = Ownership(
+            self.ownership = OwnershipComponent(
                 site.custody,
                 self.members,
                 self.router,
@@ -155,7 +156,7 @@
                 config.seed,
                 None if site.store is None else site.store.folder,
             )
-            KeptSessions(self.ownership, self.router, self.front, self.media_servers)
+            ReplicatedSessions(self.ownership, self.router, self.front, self.media_servers)
             if self.admission is not None and site.door is not None:
                 from cloverhinge.admission.replicated_reservations import ReplicatedReservations
 
@@ -199,7 +200,7 @@
         )
         if self.site.admin is not None:
             commands: dict[str, Callable[[str], dict[str, Any]]] = (
-                {} if self.ownership is None else {"custody": self.ownership.look}
+                {} if self.ownership is None else {"custody": self.ownership.look_up}
             )
             if self.operations is not None:
                 commands |= self.operations.commands()
@@ -264,9 +265,9 @@
             None if self.admission is None else self.admission.clients.identify,
         )
         if self.ownership is not None:
-            from cloverhinge.hls.replicated_plays import KeptPlays
+            from cloverhinge.hls.replicated_plays import ReplicatedPlays
 
-            KeptPlays(self.ownership, table, hls_servers, site)
+            ReplicatedPlays(self.ownership, table, hls_servers, site)
         host, port = site.listen
         http_factory = front.factory(root, self.config.sockets // 4, self.deadlines)
         listener = reactor.listenTCP(port, http_factory, backlog=BACKLOG, interface=host)
