--- a/cloverhinge/discovery/updates.py
+++ b/cloverhinge/discovery/updates.py
@@ -10,7 +10,7 @@
 from cloverhinge.core.config_values import parse_address
 from cloverhinge.decision import interface as api
 
-HEALTH = {"active": api.Health.READY, "leaving": api.Health.DRAINING, "left": api.Health.GONE}
+HEALTH_BY_LIFECYCLE = {"active": api.Health.READY, "leaving": api.Health.DRAINING, "left": api.Health.GONE}
 PLATFORM_ID = re.compile(r"s-[0-9a-f]{8}")
 
 
@@ -45,7 +45,7 @@
         cell=int(row.get("cell") or 0),
         zone=str(row.get("zone") or ""),
         kind=str(row.get("machineType") or ""),
-        health=HEALTH[str(row["lifecycle"])],
+        health=HEALTH_BY_LIFECYCLE[str(row["lifecycle"])],
         weight=1.0 if weight is None else float(weight),
         started_us=round(float(row.get("startedAtMs") or 0) * 1000.0),
     )
--- a/cloverhinge/net/buffered.py
+++ b/cloverhinge/net/buffered.py
@@ -9,8 +9,8 @@
 from twisted.protocols.basic import LineReceiver
 from zope.interface import implementer
 
-MESSAGE_MAX = 16 * 1024  # bytes of one message, headers and body
-UNREAD_MS = 50.0  # for the reactor to read what lies in a socket
+MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, headers and body
+UNREAD_GRACE_MS = 50.0  # for the reactor to read what lies in a socket
 
 
 @implementer(IPushProducer)
@@ -23,7 +23,7 @@
     off once the transport's buffer is full, so neither buffer grows without bound.
     """
 
-    MAX_LENGTH = MESSAGE_MAX
+    MAX_LENGTH = MAX_MESSAGE_BYTES
 
     def __init__(self) -> None:
         self.buffer = bytearray()
--- a/cloverhinge/node.py
+++ b/cloverhinge/node.py
@@ -27,7 +27,7 @@
 from cloverhinge.discovery.updates import ListUpdate, ServerAddress
 from cloverhinge.discovery.watch import DiscoveryWatch
 from cloverhinge.operations.admin import Admin, snapshot
-from cloverhinge.rtsp.front import Front
+from cloverhinge.rtsp.front import RtspFrontend
 from cloverhinge.rtsp.media_servers import MediaServers
 from cloverhinge.shutdown import Hooks, Phase, Shutdown
 from cloverhinge.site import AcmeSite, HlsSite, Site
@@ -69,8 +69,12 @@
             config.idle_ms,
             config.sockets,
         )
-        self.front = Front(
-            self.router, self.media_servers, self.clock, self.deadlines, most=config.sockets * 3 // 8
+        self.front = RtspFrontend(
+            self.router,
+            self.media_servers,
+            self.clock,
+            self.deadlines,
+            max_connections=config.sockets * 3 // 8,
         )
         self.servers: dict[int, ServerAddress] = {}
         self.discovery = DiscoveryWatch(
@@ -120,7 +124,7 @@
                 self.router,
                 self.deadlines,
             )
-            self.operations.shared = self.media_servers.share
+            self.operations.shared = self.media_servers.set_process_count
         if site.members is not None:
             from cloverhinge.members.transport import (
                 MembershipTransport,  # loaded only where there are other routers
@@ -329,7 +333,7 @@
             if listing.health is not api.Health.GONE:
                 self.servers[box.number] = box
         self.router.update_fleet(kind, (listing for _, listing in update.rows))
-        self.media_servers.follow(self.servers)
+        self.media_servers.update_list(self.servers)
         self.log.info(
             "list {seq}: {rows} boxes changed, {boxes} listed",
             seq=update.seq,
@@ -370,7 +374,7 @@
             )
             return
         self.media_servers.connect_ms, self.media_servers.idle_ms = told.connect_ms, told.idle_ms
-        self.discovery.follow(told.changelog)
+        self.discovery.set_address(told.changelog)
         self.log.info(
             "{name}: configuration read anew, change log at {host}:{port}",
             name=self.config.name,
--- a/cloverhinge/rtsp/client.py
+++ b/cloverhinge/rtsp/client.py
@@ -10,45 +10,50 @@
 
 if TYPE_CHECKING:
     from cloverhinge.rtsp.client_connection import ClientConnection
-    from cloverhinge.rtsp.front import Front
+    from cloverhinge.rtsp.front import RtspFrontend
 
 
 class RtspClient:
     """The core's `Viewer` for one session asked for over RTSP."""
 
-    def __init__(self, front: Front, handle: int, peer: str, name: str) -> None:
+    def __init__(self, front: RtspFrontend, connection_handle: int, peer: str, session_id: str) -> None:
         """`handle` of the connection that it came on; 0: on none of this router's."""
-        self.front, self.handle, self.peer, self.name = front, handle, peer, name
-        self.standing = False
+        self.front, self.connection_handle, self.peer, self.session_id = (
+            front,
+            connection_handle,
+            peer,
+            session_id,
+        )
+        self.established = False
 
-    def answered(self) -> ClientConnection | None:
+    def settle_set_up(self) -> ClientConnection | None:
         """Nothing is owed on its connection any more; the connection, where it is still open."""
-        connection = self.front.connections.get(self.handle)
-        if connection is not None and connection.open.pop(self.name, None) is not None:
-            self.front.arrange(connection)
+        connection = self.front.connections.get(self.connection_handle)
+        if connection is not None and connection.unanswered.pop(self.session_id, None) is not None:
+            self.front.update_rank(connection)
         return connection
 
     def presence(self) -> Presence:
-        connection = self.front.connections.get(self.handle)
+        connection = self.front.connections.get(self.connection_handle)
         return Presence.GONE if connection is None else connection.presence()
 
     def left(self, may_have_run: bool) -> None:
-        self.answered()
+        self.settle_set_up()
 
-    def stands(self, now: bool) -> None:
-        connection = self.front.connections.get(self.handle)
-        if connection is not None and now != self.standing:
-            connection.standing += 1 if now else -1
-            self.front.arrange(connection)
-        self.standing = now
+    def set_established(self, now: bool) -> None:
+        connection = self.front.connections.get(self.connection_handle)
+        if connection is not None and now != self.established:
+            connection.established_sessions += 1 if now else -1
+            self.front.update_rank(connection)
+        self.established = now
 
     def _answer(self, status: int, fields: dict[str, str] | None = None, body: bytes = b"") -> None:
-        connection = self.answered()
+        connection = self.settle_set_up()
         if connection is not None:
-            connection.send(messages.response(status, "1", self.name, fields, body))
+            connection.send(messages.encode_response(status, "1", self.session_id, fields, body))
 
     def served(self, answer: bytes) -> None:
-        self.stands(True)
+        self.set_established(True)
         self._answer(200, None, answer)
 
     def refused(self, hold_off_ms: float, ticket: str = "") -> None:
@@ -64,14 +69,16 @@
         self._answer(504 if why is Outcome.TIMEOUT else 500)
 
     def released(self, cause: Cause) -> None:
-        self.stands(False)
-        self.front.tell(
+        self.set_established(False)
+        self.front.deliver(
             self,
-            messages.request(
-                "TEARDOWN", "rtsp://media/session", 2, self.name, {"Reason": f"cause={cause.value}"}
+            messages.encode_request(
+                "TEARDOWN", "rtsp://media/session", 2, self.session_id, {"Reason": f"cause={cause.value}"}
             ),
         )
 
     def moved(self) -> None:
-        self.stands(False)
-        self.front.tell(self, messages.request("REDIRECT", "rtsp://media/session", 5, self.name))
+        self.set_established(False)
+        self.front.deliver(
+            self, messages.encode_request("REDIRECT", "rtsp://media/session", 5, self.session_id)
+        )
--- a/cloverhinge/rtsp/client_connection.py
+++ b/cloverhinge/rtsp/client_connection.py
@@ -10,67 +10,69 @@
 from cloverhinge.core.model import Presence, Request
 from cloverhinge.rtsp import messages
 from cloverhinge.rtsp.client import RtspClient
-from cloverhinge.rtsp.intake import Queue, SetUp
-from cloverhinge.rtsp.set_up import hands_over
+from cloverhinge.rtsp.intake import ReceivedSetUp, SetUpQueue
+from cloverhinge.rtsp.set_up import is_hand_over
 
 if TYPE_CHECKING:
-    from cloverhinge.rtsp.front import Front
+    from cloverhinge.rtsp.front import RtspFrontend
 
-SILENT_MS = 2500.0  # a connection that has brought no whole message so long after it was taken is closed
-PARTIAL_MS = 2000.0  # so is one whose message is not whole so long after its first byte
+FIRST_MESSAGE_TIMEOUT_MS = (
+    2500.0  # a connection that has brought no whole message so long after it was taken is closed
+)
+PARTIAL_MESSAGE_TIMEOUT_MS = 2000.0  # so is one whose message is not whole so long after its first byte
 
 
 class ClientConnection(messages.RtspProtocol):
     """One connection of viewers."""
 
-    def __init__(self, front: Front, peer: str) -> None:
+    def __init__(self, front: RtspFrontend, peer: str) -> None:
         super().__init__()
         self.front, self.peer = front, peer
         self.handle = 0
-        self.rank: dict[int, ClientConnection] = front.silent
-        self.open: dict[str, Request] = {}  # set-ups that are owed an answer here
-        self.queue = Queue()  # set-ups that have been read and not begun
+        self.rank: dict[int, ClientConnection] = front.awaiting_message
+        self.unanswered: dict[str, Request] = {}  # set-ups that are owed an answer here
+        self.queue = SetUpQueue()  # set-ups that have been read and not begun
         self.paused = False  # nothing is read while the queue is full
-        self.standing = 0  # sessions that were set up on it
-        self.spoken = False  # a whole message has come
-        self.since_ms = 0.0  # the connection's start
-        self.heard_ms = 0.0  # its last whole message
-        self.ending_ms: float | None = None  # half-closed since
-        self.partial_ms: float | None = None  # the first byte of the message that is not whole yet
+        self.established_sessions = 0  # sessions that were set up on it
+        self.has_sent_message = False  # a whole message has come
+        self.opened_ms = 0.0  # the connection's start
+        self.last_message_ms = 0.0  # its last whole message
+        self.half_closed_ms: float | None = None  # half-closed since
+        self.partial_since_ms: float | None = None  # the first byte of the message that is not whole yet
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.front.up(self)
+        self.front.connection_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
         super().dataReceived(data)
-        if not self.midway:
-            self.partial_ms = None
-        elif self.partial_ms is None:
-            self.partial_ms = self.front.clock.now()
-        self.front.intake.offer(self)
+        if not self.mid_message:
+            self.partial_since_ms = None
+        elif self.partial_since_ms is None:
+            self.partial_since_ms = self.front.clock.now()
+        self.front.scheduler.offer(self)
         if self.queue.full and not self.gone:
-            self._pause(True)
+            self._set_paused(True)
 
-    def _pause(self, paused: bool) -> None:
+    def _set_paused(self, paused: bool) -> None:
         """Guards memory against a flood on one connection."""
         transport: Any = self.transport
         if paused != self.paused:
             self.paused = paused
             (transport.stopReading if paused else transport.startReading)()
 
-    def begin(self, one: SetUp) -> None:
+    def begin(self, one: ReceivedSetUp) -> None:
         """What came behind it in the same input has been read, so it has not been cancelled there."""
         if self.gone:
             self.queue.clear()
             return
         try:
             self.front.set_up(self, one)
-        except messages.Malformed as error:
+        except messages.MalformedMessage as error:
             self.malformed(error, one.message)
-        self.front.arrange(self)
+        self.front.update_rank(self)
         if not self.queue.full and not self.gone:
-            self._pause(False)
+            self._set_paused(False)
 
     def presence(self) -> Presence:
         """What the connection shows of its client now, without reading from it."""
@@ -87,39 +89,39 @@
 
     def overdue(self, now: float) -> bool:
         """Guards against clients that say nothing, or say it byte by byte: no byte renews the time."""
-        if not self.spoken:
-            return now - self.since_ms > SILENT_MS
-        return self.partial_ms is not None and now - self.partial_ms > PARTIAL_MS
+        if not self.has_sent_message:
+            return now - self.opened_ms > FIRST_MESSAGE_TIMEOUT_MS
+        return self.partial_since_ms is not None and now - self.partial_since_ms > PARTIAL_MESSAGE_TIMEOUT_MS
 
     def received(self, message: messages.Message) -> None:
-        self.heard_ms, self.partial_ms = self.front.clock.now(), None
-        if not self.spoken:
-            self.spoken = True
-            self.front.spoke(self)
-        self.front.arrange(self)
-        cseq, name = message.headers.get("cseq", "0"), message.session
-        if message.status or self.ending_ms is not None:
+        self.last_message_ms, self.partial_since_ms = self.front.clock.now(), None
+        if not self.has_sent_message:
+            self.has_sent_message = True
+            self.front.first_message_received(self)
+        self.front.update_rank(self)
+        cseq, name = message.headers.get("cseq", "0"), message.session_id
+        if message.status or self.half_closed_ms is not None:
             return  # a viewer heard a release, or sends anew what crosses the connection's end
         if message.method == "SETUP":
-            if hands_over(message):  # it plays already, so its end has to reach the server whatever follows
-                self.front.set_up(self, SetUp(message, self.heard_ms))
+            if is_hand_over(message):  # it plays already, so its end has to reach the server whatever follows
+                self.front.set_up(self, ReceivedSetUp(message, self.last_message_ms))
             else:
-                self.queue.add(SetUp(message, self.heard_ms))
-                self.front.arrange(self)
+                self.queue.add(ReceivedSetUp(message, self.last_message_ms))
+                self.front.update_rank(self)
         elif message.method == "TEARDOWN":
             self.queue.cancel(name)
-            self.front.intake.cancel(name)
-            self.send(messages.response(200, cseq, name))
+            self.front.scheduler.cancel(name)
+            self.send(messages.encode_response(200, cseq, name))
             request = self.front.router.by_session_id.get(name)
             if request is not None and isinstance(request.client, RtspClient):
-                request.client.answered()
-                request.client.stands(False)
+                request.client.settle_set_up()
+                request.client.set_established(False)
                 self.front.router.viewer_left(request)
         elif message.method == "OPTIONS":
-            self.send(messages.response(200 if self.front.ready else 503, cseq, name))
+            self.send(messages.encode_response(200 if self.front.ready else 503, cseq, name))
         else:
-            raise messages.Malformed("unknown method", 501)
+            raise messages.MalformedMessage("unknown method", 501)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.gone = True
-        self.front.down(self)
+        self.front.connection_closed(self)
--- a/cloverhinge/rtsp/front.py
+++ b/cloverhinge/rtsp/front.py
@@ -20,41 +20,43 @@
 from cloverhinge.rtsp import messages
 from cloverhinge.rtsp.client import RtspClient
 from cloverhinge.rtsp.client_connection import ClientConnection
-from cloverhinge.rtsp.intake import Intake, SetUp
-from cloverhinge.rtsp.set_up import read_set_up
+from cloverhinge.rtsp.intake import ReceivedSetUp, SetUpScheduler
+from cloverhinge.rtsp.set_up import parse_set_up
 
-SWEEP_MS = 250.0
-LOOKED_AT_MOST = 16  # connections of a rank that are looked at to make room for one
+SWEEP_INTERVAL_MS = 250.0
+MAX_EVICTION_CANDIDATES = 16  # connections of a rank that are looked at to make room for one
 CLOSING_SHARE = 1 / 3  # of the table's size: connections on their way out, beside a full table
-YOUNG_MS = 200.0  # a connection's first set-up is on its way for so long
-CROSSING_MS = 100.0  # what crosses the announced end of a connection is here so soon
-HELD_MS = 8000.0  # a release waits so long for a connection of its viewers
-HELD_MOST = 2048
-BUSY_HOLD_OFF_MS = 1000.0  # told where every slot for requests is taken
+FIRST_SET_UP_GRACE_MS = 200.0  # a connection's first set-up is on its way for so long
+HALF_CLOSED_GRACE_MS = 100.0  # what crosses the announced end of a connection is here so soon
+UNDELIVERED_TTL_MS = 8000.0  # a release waits so long for a connection of its viewers
+MAX_UNDELIVERED = 2048
+BUSY_RETRY_AFTER_MS = 1000.0  # told where every slot for requests is taken
 
 
-class Front(ServerFactory):
+class RtspFrontend(ServerFactory):
     log = Logger()
     noisy = False
 
     def __init__(
-        self, router: Router, boxes: ServerPort, clock: Clock, deadlines: Deadlines, most: int
+        self, router: Router, servers: ServerPort, clock: Clock, deadlines: Deadlines, max_connections: int
     ) -> None:
-        self.router, self.boxes, self.clock, self.deadlines = router, boxes, clock, deadlines
-        self.connections: SlotTable[ClientConnection] = SlotTable(most)
-        self.intake = Intake(deadlines)
+        self.router, self.servers, self.clock, self.deadlines = router, servers, clock, deadlines
+        self.connections: SlotTable[ClientConnection] = SlotTable(max_connections)
+        self.scheduler = SetUpScheduler(deadlines)
         # Who makes room when the table is full: the first of the first that is not empty.
-        self.silent: dict[int, ClientConnection] = {}  # by handle, the earliest taken first
-        self.resting: dict[int, ClientConnection] = {}  # spoke, no session stands; the longest silent first
-        self.holding: dict[int, ClientConnection] = {}  # sessions that were set up on it stand; as before
+        self.awaiting_message: dict[int, ClientConnection] = {}  # by handle, the earliest taken first
+        self.idle: dict[int, ClientConnection] = {}  # spoke, no session stands; the longest silent first
+        self.with_sessions: dict[
+            int, ClientConnection
+        ] = {}  # sessions that were set up on it stand; as before
         self.busy: dict[int, ClientConnection] = {}  # owed an answer: they stay
         self.open_connections = 0  # those on their way out included
-        self.held: deque[tuple[float, bytes]] = deque(maxlen=HELD_MOST)
+        self.undelivered: deque[tuple[float, bytes]] = deque(maxlen=MAX_UNDELIVERED)
         self.ready = True
         # Of the door: peer, client, proof and session to the client's number; ValueError where it is forged.
         self.identify: Callable[[str, str, str, str], int] | None = None
         # Of custody: what the box answered to the session's set-up.
-        self.kept_answer: Callable[[str], bytes] | None = None
+        self.replicated_answer: Callable[[str], bytes] | None = None
 
     def start(self) -> None:
         self._sweep()
@@ -65,67 +67,67 @@
             return None
         return ClientConnection(self, str(getattr(addr, "host", "")))
 
-    def up(self, connection: ClientConnection) -> None:
+    def connection_opened(self, connection: ClientConnection) -> None:
         self.open_connections += 1
-        connection.since_ms = connection.heard_ms = self.clock.now()
-        if self.connections.full and not self._make_room():
+        connection.opened_ms = connection.last_message_ms = self.clock.now()
+        if self.connections.full and not self._evict_one():
             connection.drop()
             return
         connection.handle = self.connections.put(connection)
-        self.silent[connection.handle] = connection
+        self.awaiting_message[connection.handle] = connection
 
-    def _make_room(self) -> bool:
+    def _evict_one(self) -> bool:
         """Close the connection that has rested the longest, unless a request may lie unread on it.
 
         Guards the descriptors, and usual viewers against floods.
         """
-        for rank in (self.silent, self.resting, self.holding):
-            for connection in islice(rank.values(), LOOKED_AT_MOST):
+        for rank in (self.awaiting_message, self.idle, self.with_sessions):
+            for connection in islice(rank.values(), MAX_EVICTION_CANDIDATES):
                 if not connection.unread:
-                    self.take_out(connection)
+                    self.remove(connection)
                     connection.close()
                     return True
         return False
 
-    def arrange(self, connection: ClientConnection) -> None:
+    def update_rank(self, connection: ClientConnection) -> None:
         """Behind all others of the rank that is its now."""
         if connection.handle and connection.rank.pop(connection.handle, None) is not None:
             connection.rank = (
                 self.busy
-                if connection.open or len(connection.queue)
-                else self.silent
-                if not connection.spoken
-                else self.holding
-                if connection.standing
-                else self.resting
+                if connection.unanswered or len(connection.queue)
+                else self.awaiting_message
+                if not connection.has_sent_message
+                else self.with_sessions
+                if connection.established_sessions
+                else self.idle
             )
             connection.rank[connection.handle] = connection
 
-    def take_out(self, connection: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
         self.connections.free(connection.handle)
         connection.rank.pop(connection.handle, None)
 
-    def down(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         self.open_connections -= 1
-        self.take_out(connection)
+        self.remove(connection)
         connection.queue.clear()
-        for request in list(connection.open.values()):
+        for request in list(connection.unanswered.values()):
             if request.state is State.OPEN:
                 self.router.viewer_left(request)
-        connection.open.clear()
+        connection.unanswered.clear()
 
-    def set_up(self, connection: ClientConnection, one: SetUp) -> None:
+    def set_up(self, connection: ClientConnection, one: ReceivedSetUp) -> None:
         message = one.message
-        ask, at = read_set_up(message)
+        ask, at = parse_set_up(message)
         ask = replace(ask, wait_ms=max(0.0, ask.wait_ms - (self.clock.now() - one.read_ms)))
         if ask.class_name not in self.router.classes:
-            raise messages.Malformed("unknown class", 400)
+            raise messages.MalformedMessage("unknown class", 400)
         if self.identify is not None:
             words = [message.headers.get(x, "") for x in ("x-client", "x-client-proof")]
             try:
                 client = self.identify(connection.peer, words[0], words[1], ask.session_id)
             except ValueError as error:
-                connection.send(messages.response(403, "1", ask.session_id, {"X-Why": str(error)}))
+                connection.send(messages.encode_response(403, "1", ask.session_id, {"X-Why": str(error)}))
                 return
             ask = replace(
                 ask,
@@ -134,37 +136,39 @@
                 reservation_token=message.headers.get("x-ticket", ""),
             )
         viewer = RtspClient(self, connection.handle, connection.peer, ask.session_id)
-        if self.kept_answer is not None and self._come_again(connection, ask.session_id, bool(at)):
+        if self.replicated_answer is not None and self._reattach(connection, ask.session_id, bool(at)):
             return
         if at:
-            if self.router.adopt(ask, server_number(at), viewer, self.boxes) is not None:
-                viewer.stands(True)
+            if self.router.adopt(ask, server_number(at), viewer, self.servers) is not None:
+                viewer.set_established(True)
         elif ask.session_id in self.router.by_session_id:
-            connection.send(messages.response(455, "1", ask.session_id))
-        elif (request := self.router.open_request(ask, viewer, self.boxes)) is None:
+            connection.send(messages.encode_response(455, "1", ask.session_id))
+        elif (request := self.router.open_request(ask, viewer, self.servers)) is None:
             connection.send(
-                messages.response(503, "1", ask.session_id, {"X-Hold-Off": str(round(BUSY_HOLD_OFF_MS))})
+                messages.encode_response(
+                    503, "1", ask.session_id, {"X-Hold-Off": str(round(BUSY_RETRY_AFTER_MS))}
+                )
             )
         elif request.state is State.OPEN:
-            connection.open[ask.session_id] = request
+            connection.unanswered[ask.session_id] = request
 
-    def _come_again(self, connection: ClientConnection, name: str, stood: bool) -> bool:
+    def _reattach(self, connection: ClientConnection, name: str, stood: bool) -> bool:
         """Whether this is the viewer of a session that was taken over, or whose connection is gone."""
         held = self.router.by_session_id.get(name)
         viewer = None if held is None else held.client
         if held is None or held.state is not State.ESTABLISHED or not isinstance(viewer, RtspClient):
             return False
-        before = self.connections.get(viewer.handle)
+        before = self.connections.get(viewer.connection_handle)
         if before is not None and not before.gone:
             return False
-        viewer.stands(False)
-        viewer.handle, viewer.peer = connection.handle, connection.peer
-        viewer.stands(True)
-        if not stood and self.kept_answer is not None:
-            connection.send(messages.response(200, "1", name, None, self.kept_answer(name)))
+        viewer.set_established(False)
+        viewer.connection_handle, viewer.peer = connection.handle, connection.peer
+        viewer.set_established(True)
+        if not stood and self.replicated_answer is not None:
+            connection.send(messages.encode_response(200, "1", name, None, self.replicated_answer(name)))
         return True
 
-    def close_at_rest(self, now: float) -> int:
+    def close_idle(self, now: float) -> int:
         """Another process accepts from here on: each connection is ended at a moment at which nothing is open
         on it and nothing unread, so what is sent to it later comes to a new one.  Returns how many are left.
 
@@ -173,42 +177,42 @@
         """
         left = 0
         for connection in self.connections:
-            if connection.ending_ms is not None:
-                if now - connection.ending_ms > CROSSING_MS:
+            if connection.half_closed_ms is not None:
+                if now - connection.half_closed_ms > HALF_CLOSED_GRACE_MS:
                     connection.close()
                 continue
             left += 1
-            young = not connection.spoken and now - connection.since_ms < YOUNG_MS
-            owed = connection.open or len(connection.queue)
-            if not owed and not young and not connection.midway and not connection.unread:
-                connection.ending_ms = now
+            young = not connection.has_sent_message and now - connection.opened_ms < FIRST_SET_UP_GRACE_MS
+            owed = connection.unanswered or len(connection.queue)
+            if not owed and not young and not connection.mid_message and not connection.unread:
+                connection.half_closed_ms = now
                 connection.half_close()
         return left
 
-    def tell(self, viewer: RtspClient, data: bytes) -> None:
+    def deliver(self, viewer: RtspClient, data: bytes) -> None:
         """Towards whoever holds the session: on its connection, else on the last of its host to speak, else
         on the last of all.  Guards against releases told to a connection that is no viewer's."""
-        connection = self.connections.get(viewer.handle)
+        connection = self.connections.get(viewer.connection_handle)
         if connection is None or connection.gone:
-            spoken = [x for x in self.connections if x.spoken and not x.gone]
-            spoken.sort(key=lambda x: (x.peer == viewer.peer, x.heard_ms))
+            spoken = [x for x in self.connections if x.has_sent_message and not x.gone]
+            spoken.sort(key=lambda x: (x.peer == viewer.peer, x.last_message_ms))
             connection = spoken[-1] if spoken else None
         if connection is not None:
             connection.send(data)
         else:
-            self.held.append((self.clock.now(), data))
+            self.undelivered.append((self.clock.now(), data))
 
-    def spoke(self, connection: ClientConnection) -> None:
+    def first_message_received(self, connection: ClientConnection) -> None:
         """The first whole message on a connection: it is a viewer's."""
-        while self.held:
-            connection.send(self.held.popleft()[1])
+        while self.undelivered:
+            connection.send(self.undelivered.popleft()[1])
 
     def _sweep(self) -> None:
         now = self.clock.now()
-        while self.held and now - self.held[0][0] > HELD_MS:
-            self.held.popleft()
+        while self.undelivered and now - self.undelivered[0][0] > UNDELIVERED_TTL_MS:
+            self.undelivered.popleft()
         for connection in self.connections:
             # Guards against closing over a whole request after a pause, as timers run ahead of the sockets.
             if connection.overdue(now) and not connection.unread:
                 connection.close()
-        self.deadlines.after(SWEEP_MS, self._sweep)
+        self.deadlines.after(SWEEP_INTERVAL_MS, self._sweep)
--- a/cloverhinge/rtsp/messages.py
+++ b/cloverhinge/rtsp/messages.py
@@ -5,14 +5,14 @@
 import re
 from dataclasses import dataclass, field
 
-from cloverhinge.net.buffered import MESSAGE_MAX, BufferedReceiver
+from cloverhinge.net.buffered import MAX_MESSAGE_BYTES, BufferedReceiver
 
 VERSION = "RTSP/1.0"
-HEADERS_MAX = 64
-SESSION = re.compile(r"[0-9a-fA-F]{16}")
+MAX_HEADERS = 64
+SESSION_ID = re.compile(r"[0-9a-fA-F]{16}")
 METHOD = re.compile(r"[A-Z_]{1,32}")
-TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-REASONS = {
+HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     403: "Forbidden",
@@ -27,7 +27,7 @@
 }
 
 
-class Malformed(ValueError):
+class MalformedMessage(ValueError):
     """What was read is not a message; `status` is the answer that it deserves."""
 
     def __init__(self, text: str, status: int = 400) -> None:
@@ -44,7 +44,7 @@
     body: bytes = b""
 
     @property
-    def session(self) -> str:
+    def session_id(self) -> str:
         return self.headers.get("session", "")
 
     def number(self, name: str, default: float | None = None) -> float:
@@ -52,62 +52,62 @@
         text = self.headers.get(name)
         if text is None:
             if default is None:
-                raise Malformed(f"{name} is missing")
+                raise MalformedMessage(f"{name} is missing")
             return default
         try:
             value = float(text)
         except ValueError:
-            raise Malformed(f"{name} is no number") from None
+            raise MalformedMessage(f"{name} is no number") from None
         if not 0 <= value < 1e15:
-            raise Malformed(f"{name} is out of range")
+            raise MalformedMessage(f"{name} is out of range")
         return value
 
 
-def first_line(line: bytes) -> Message:
+def parse_start_line(line: bytes) -> Message:
     words = line.decode("utf-8", "strict").split(" ", 2)
     if words[0] == VERSION:
         if len(words) < 2 or not re.fullmatch(r"[1-5][0-9][0-9]", words[1]):
-            raise Malformed("no status")
+            raise MalformedMessage("no status")
         return Message(status=int(words[1]))
     if len(words) != 3 or not METHOD.fullmatch(words[0]) or not words[1]:
-        raise Malformed("no request line")
+        raise MalformedMessage("no request line")
     if words[2] != VERSION:
-        raise Malformed("another version", 505)
+        raise MalformedMessage("another version", 505)
     return Message(method=words[0], uri=words[1])
 
 
-def header(message: Message, line: bytes) -> None:
+def parse_header(message: Message, line: bytes) -> None:
     name, colon, value = line.decode("utf-8", "strict").partition(":")
-    if not colon or not TOKEN.fullmatch(name):
-        raise Malformed("no header field")
-    if len(message.headers) >= HEADERS_MAX:
-        raise Malformed("too many header fields")
+    if not colon or not HEADER_NAME.fullmatch(name):
+        raise MalformedMessage("no header field")
+    if len(message.headers) >= MAX_HEADERS:
+        raise MalformedMessage("too many header fields")
     key = name.lower()
     if key in message.headers:
-        raise Malformed(f"{name} comes twice")
+        raise MalformedMessage(f"{name} comes twice")
     message.headers[key] = value.strip()
 
 
 def body_length(message: Message) -> int:
     text = message.headers.get("content-length", "0")
     if not re.fullmatch(r"[0-9]{1,9}", text):
-        raise Malformed("Content-Length is no number")
+        raise MalformedMessage("Content-Length is no number")
     return int(text)
 
 
-def request(
+def encode_request(
     method: str, uri: str, cseq: int, session: str, fields: dict[str, str] | None = None, body: bytes = b""
 ) -> bytes:
-    return _compose(f"{method} {uri} {VERSION}", str(cseq), session, fields, body)
+    return _encode(f"{method} {uri} {VERSION}", str(cseq), session, fields, body)
 
 
-def response(
+def encode_response(
     status: int, cseq: str, session: str, fields: dict[str, str] | None = None, body: bytes = b""
 ) -> bytes:
-    return _compose(f"{VERSION} {status} {REASONS.get(status, 'Other')}", cseq, session, fields, body)
+    return _encode(f"{VERSION} {status} {REASON_PHRASES.get(status, 'Other')}", cseq, session, fields, body)
 
 
-def _compose(line: str, cseq: str, session: str, fields: dict[str, str] | None, body: bytes) -> bytes:
+def _encode(line: str, cseq: str, session: str, fields: dict[str, str] | None, body: bytes) -> bytes:
     lines = [line, f"CSeq: {cseq}"]
     if session:
         lines.append(f"Session: {session}")
@@ -116,7 +116,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-def pairs(text: str) -> dict[str, str]:
+def parse_pairs(text: str) -> dict[str, str]:
     """Fields of the form `a:1;b:2`."""
     found = {}
     for part in text.split(";"):
@@ -132,10 +132,10 @@
     def __init__(self) -> None:
         super().__init__()
         self.message: Message | None = None
-        self.size = 0
+        self.message_bytes = 0
 
     @property
-    def midway(self) -> bool:
+    def mid_message(self) -> bool:
         """A part of a message has been read."""
         return self.message is not None or bool(self.buffer)
 
@@ -143,50 +143,50 @@
         if self.message is None and not line:
             return  # RFC 2326 lets empty lines stand before a message
         try:
-            self.size += len(line) + 2
-            if self.size > MESSAGE_MAX:
-                raise Malformed("too long", 413)
+            self.message_bytes += len(line) + 2
+            if self.message_bytes > MAX_MESSAGE_BYTES:
+                raise MalformedMessage("too long", 413)
             if self.message is None:
-                self.message = first_line(line)
+                self.message = parse_start_line(line)
             elif line:
-                header(self.message, line)
+                parse_header(self.message, line)
             else:
                 length = body_length(self.message)
-                if self.size + length > MESSAGE_MAX:
-                    raise Malformed("too long", 413)
+                if self.message_bytes + length > MAX_MESSAGE_BYTES:
+                    raise MalformedMessage("too long", 413)
                 if length:
                     self.expected = length
                     self.setRawMode()
                 else:
-                    self._whole()
+                    self._message_complete()
         except UnicodeDecodeError:
-            self.malformed(Malformed("not UTF-8"))
-        except Malformed as error:
+            self.malformed(MalformedMessage("not UTF-8"))
+        except MalformedMessage as error:
             self.malformed(error)
 
     def rawDataReceived(self, data: bytes) -> None:
         assert self.message is not None
         self.message.body = data
         self.setLineMode()
-        self._whole()
+        self._message_complete()
 
-    def _whole(self) -> None:
-        message, self.message, self.size = self.message, None, 0
+    def _message_complete(self) -> None:
+        message, self.message, self.message_bytes = self.message, None, 0
         assert message is not None
         try:
             self.received(message)
-        except Malformed as error:
+        except MalformedMessage as error:
             self.malformed(error, message)
 
     def oversized(self) -> None:
-        self.malformed(Malformed("too long", 413))
+        self.malformed(MalformedMessage("too long", 413))
 
-    def malformed(self, error: Malformed, message: Message | None = None) -> None:
+    def malformed(self, error: MalformedMessage, message: Message | None = None) -> None:
         """Answer as well as can be; without a whole message there is no telling where the next one begins."""
         seen = message or self.message
         if seen is None or not seen.status:
             headers = seen.headers if seen else {}
-            self.send(response(error.status, headers.get("cseq", "0"), headers.get("session", "")))
+            self.send(encode_response(error.status, headers.get("cseq", "0"), headers.get("session", "")))
         if message is None:
             self.close()
 
--- a/cloverhinge/rtsp/replicated_sessions.py
+++ b/cloverhinge/rtsp/replicated_sessions.py
@@ -8,17 +8,17 @@
 from cloverhinge.ownership.component import Part
 from cloverhinge.ownership.replicated_work import Kept, read
 from cloverhinge.rtsp.client import RtspClient
-from cloverhinge.rtsp.front import Front
+from cloverhinge.rtsp.front import RtspFrontend
 from cloverhinge.rtsp.media_servers import MediaServers
 
 
 class KeptSessions:
     """The front's side of custody."""
 
-    def __init__(self, part: Part, router: Router, front: Front, servers: MediaServers) -> None:
+    def __init__(self, part: Part, router: Router, front: RtspFrontend, servers: MediaServers) -> None:
         self.part, self.router, self.front, self.servers = part, router, front, servers
-        servers.handed_on = part.handed.__contains__
-        front.kept_answer = self.answer
+        servers.is_handed_over = part.handed.__contains__
+        front.replicated_answer = self.answer
         part.serve(LETTER, self)
 
     def answer(self, name: str) -> bytes:
@@ -41,7 +41,7 @@
         viewer = RtspClient(self.front, 0, kept.peer, kept.name)
         request = self.part.carry(kept.ask(), kept, viewer, self.servers)
         if request is not None:
-            viewer.stands(True)
+            viewer.set_established(True)
         return request is not None
 
     def lost(self, id: str) -> None:
@@ -50,4 +50,4 @@
     def let_go(self, kept: Kept) -> None:
         """Not while a viewer of that very session is here: its set-up has the same name."""
         if kept.name not in self.router.by_session_id:
-            self.servers.let_go(kept.server, kept.name)
+            self.servers.release_leftover(kept.server, kept.name)
--- a/cloverhinge/rtsp/server_connection.py
+++ b/cloverhinge/rtsp/server_connection.py
@@ -11,13 +11,13 @@
 
 from cloverhinge.core.deadlines import DeadlineKey
 from cloverhinge.core.model import Attempt
-from cloverhinge.net.buffered import UNREAD_MS
+from cloverhinge.net.buffered import UNREAD_GRACE_MS
 from cloverhinge.rtsp import messages
 
 if TYPE_CHECKING:
     from cloverhinge.rtsp.server_pool import ServerPool
 
-PARTIAL_MS = 400.0  # a message that is not whole so long after its first part never will be
+PARTIAL_MESSAGE_TIMEOUT_MS = 400.0  # a message that is not whole so long after its first part never will be
 
 
 @dataclass(slots=True, eq=False)
@@ -25,7 +25,7 @@
     """A test of a server that is out.  Its server may have left the list since, or have moved."""
 
     pool: ServerPool
-    name: str
+    probe_id: str
     started_ms: float
     deadline: DeadlineKey | None = None
 
@@ -36,53 +36,59 @@
     def __init__(self, pool: ServerPool) -> None:
         super().__init__()
         self.pool = pool
-        self.since_ms = self.used_ms = self.traffic_ms = 0.0  # opened, last set-up, last message either way
-        self.closing_ms: float | None = None  # half-closed since
+        self.opened_ms = self.last_set_up_ms = self.last_traffic_ms = (
+            0.0  # opened, last set-up, last message either way
+        )
+        self.half_closed_ms: float | None = None  # half-closed since
         self.attempts: dict[str, Attempt] = {}
         self.probes: dict[str, Probe] = {}
-        self.whole: list[messages.Message] = []  # read, and not handed on yet
-        self.partial: DeadlineKey | None = None
+        self.complete_messages: list[messages.Message] = []  # read, and not handed on yet
+        self.partial_deadline: DeadlineKey | None = None
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.pool.up(self)
+        self.pool.connection_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
         """Guards against an answer whose length is wrong: what has been read is handed on once what follows
         it is seen to be none of its leavings, and a message that stays unfinished ends the connection."""
-        deadlines, known = self.pool.servers.deadlines, len(self.whole)
+        deadlines, known = self.pool.servers.deadlines, len(self.complete_messages)
         super().dataReceived(data)
-        if not self.midway or self.gone or len(self.whole) > known:
-            deadlines.cancel(self.partial)
-            self.partial = None
+        if not self.mid_message or self.gone or len(self.complete_messages) > known:
+            deadlines.cancel(self.partial_deadline)
+            self.partial_deadline = None
         if self.gone:
             return
-        if self.midway:
-            self.partial = self.partial or deadlines.after(PARTIAL_MS, self._partial_over)
+        if self.mid_message:
+            self.partial_deadline = self.partial_deadline or deadlines.after(
+                PARTIAL_MESSAGE_TIMEOUT_MS, self._partial_timed_out
+            )
             return
-        whole, self.whole = self.whole, []
+        whole, self.complete_messages = self.complete_messages, []
         for message in whole:
             try:
-                self.pool.read(self, message)
-            except messages.Malformed as error:
+                self.pool.handle_message(self, message)
+            except messages.MalformedMessage as error:
                 self.malformed(error, message)
 
-    def _partial_over(self) -> None:
+    def _partial_timed_out(self) -> None:
         """Guards against an answer thrown away after a pause of this process: its rest may lie unread."""
-        self.partial = None
+        self.partial_deadline = None
         if self.unread:
-            self.partial = self.pool.servers.deadlines.after(UNREAD_MS, self._partial_over)
+            self.partial_deadline = self.pool.servers.deadlines.after(
+                UNREAD_GRACE_MS, self._partial_timed_out
+            )
         else:
             self.drop()
 
     def received(self, message: messages.Message) -> None:
-        self.whole.append(message)
+        self.complete_messages.append(message)
 
     def send(self, data: bytes) -> None:
-        self.traffic_ms = self.pool.servers.clock.now()
+        self.last_traffic_ms = self.pool.servers.clock.now()
         super().send(data)
 
-    def malformed(self, error: messages.Malformed, message: messages.Message | None = None) -> None:
+    def malformed(self, error: messages.MalformedMessage, message: messages.Message | None = None) -> None:
         if message is not None:
             super().malformed(error, message)
             return
@@ -93,6 +99,6 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.gone = True
-        self.pool.servers.deadlines.cancel(self.partial)
-        self.pool.reset = self.pool.reset or reason.check(ConnectionLost) is not None
-        self.pool.down(self)
+        self.pool.servers.deadlines.cancel(self.partial_deadline)
+        self.pool.was_reset = self.pool.was_reset or reason.check(ConnectionLost) is not None
+        self.pool.connection_closed(self)
--- a/cloverhinge/rtsp/server_messages.py
+++ b/cloverhinge/rtsp/server_messages.py
@@ -7,8 +7,8 @@
 from cloverhinge.rtsp import messages
 
 
-def report_of(message: messages.Message) -> api.LoadReport | None:
-    told = messages.pairs(message.headers.get("x-circuits", ""))
+def parse_load_report(message: messages.Message) -> api.LoadReport | None:
+    told = messages.parse_pairs(message.headers.get("x-circuits", ""))
     figures: dict[str, float] = {}
     for name, value in told.items():
         try:
@@ -20,7 +20,7 @@
     return api.LoadReport(figures.get("outstanding"), figures.get("x0"), figures.get("x1"))
 
 
-def note_of(message: messages.Message, request: Request, server: int) -> api.Event | None:
+def parse_session_event(message: messages.Message, request: Request, server: int) -> api.Event | None:
     value = message.number("x-reading")
     match message.headers.get("x-why"):
         case "delivered":
@@ -34,5 +34,7 @@
     return None
 
 
-def release(name: str, cause: Cause) -> bytes:
-    return messages.request("TEARDOWN", "rtsp://media/session", 2, name, {"Reason": f"cause={cause.value}"})
+def encode_release(name: str, cause: Cause) -> bytes:
+    return messages.encode_request(
+        "TEARDOWN", "rtsp://media/session", 2, name, {"Reason": f"cause={cause.value}"}
+    )
--- a/cloverhinge/rtsp/set_up.py
+++ b/cloverhinge/rtsp/set_up.py
@@ -6,27 +6,27 @@
 from cloverhinge.rtsp import messages
 
 
-def hands_over(message: messages.Message) -> bool:
+def is_hand_over(message: messages.Message) -> bool:
     """Whether a set-up tells of a session that plays already."""
-    return "at" in messages.pairs(message.headers.get("x-dest", ""))
+    return "at" in messages.parse_pairs(message.headers.get("x-dest", ""))
 
 
-def read_set_up(message: messages.Message) -> tuple[SetUpRequest, str]:
+def parse_set_up(message: messages.Message) -> tuple[SetUpRequest, str]:
     """The request, and the id of the pump that it plays at already ('' = none)."""
-    if not messages.SESSION.fullmatch(message.session):
-        raise messages.Malformed("no session")
+    if not messages.SESSION_ID.fullmatch(message.session_id):
+        raise messages.MalformedMessage("no session")
     if not message.uri.startswith("rtsp://media/") or not message.uri[13:]:
-        raise messages.Malformed("no title")
-    told = messages.pairs(message.headers.get("x-dest", ""))
+        raise messages.MalformedMessage("no title")
+    told = messages.parse_pairs(message.headers.get("x-dest", ""))
 
     def whole(name: str, default: int) -> int:
         text = told.get(name, str(default))
         if not text.isascii() or not text.isdigit() or len(text) > 9:
-            raise messages.Malformed(f"{name} is no number")
+            raise messages.MalformedMessage(f"{name} is no number")
         return int(text)
 
     ask = SetUpRequest(
-        session_id=message.session,
+        session_id=message.session_id,
         class_name=message.headers.get("x-call-class", ""),
         title=message.uri[13:],
         first_cell=whole("home", 0),
--- a/cloverhinge/shutdown.py
+++ b/cloverhinge/shutdown.py
@@ -21,7 +21,7 @@
 
 from cloverhinge.core.deadlines import Deadlines
 from cloverhinge.core.router import Router
-from cloverhinge.rtsp.front import Front
+from cloverhinge.rtsp.front import RtspFrontend
 
 MAX_ACCEPT_MS = 700.0  # requests keep coming for so long after SIGTERM at the most
 IDLE_POLL_MS = 10.0  # pace at which connections are looked at for a moment of rest
@@ -68,7 +68,13 @@
     log = Logger()
 
     def __init__(
-        self, name: str, front: Front, router: Router, deadlines: Deadlines, max_wait_ms: float, hooks: Hooks
+        self,
+        name: str,
+        front: RtspFrontend,
+        router: Router,
+        deadlines: Deadlines,
+        max_wait_ms: float,
+        hooks: Hooks,
     ) -> None:
         """`longest_ms`: the longest that any client waits for an answer."""
         self.name, self.front, self.router, self.deadlines = name, front, router, deadlines
@@ -113,7 +119,7 @@
 
     def _end_connections(self) -> None:
         now = self.deadlines.clock.now()
-        left = self.front.close_at_rest(now)
+        left = self.front.close_idle(now)
         if (left or self.front.open_connections or self.router.open_requests) and now < self.until_ms:
             self.deadlines.after(IDLE_POLL_MS, self._end_connections)
             return
--- a/tests/operations_guards.py
+++ b/tests/operations_guards.py
@@ -14,7 +14,7 @@
 from cloverhinge.operations.instance_files import Beside
 from cloverhinge.operations.maintenance_file import Shelf
 from cloverhinge.rtsp import server_pool
-from cloverhinge.rtsp.front import Front
+from cloverhinge.rtsp.front import RtspFrontend
 
 
 def lists_decide() -> None:
@@ -42,20 +42,20 @@
 
 
 def old_list() -> None:
-    DiscoveryWatch.when_caught_up = lambda self, call, most_ms: call()  # type: ignore[method-assign]
+    DiscoveryWatch.when_caught_up = lambda self, call, timeout_ms: call()  # type: ignore[method-assign]
 
 
 def cuts_off() -> None:
-    def at_once(self: Front, now: float) -> int:
+    def at_once(self: RtspFrontend, now: float) -> int:
         for line in self.connections:
             line.close()
         return 0
 
-    Front.close_at_rest = at_once  # type: ignore[method-assign]
+    RtspFrontend.close_idle = at_once  # type: ignore[method-assign]
 
 
 def hasty() -> None:
-    server_pool.REFUSED_MS = 0.0
+    server_pool.REFUSED_LOST_MS = 0.0
 
 
 def counted_twice() -> None:
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -11,20 +11,29 @@
 from cloverhinge.core.router import Router
 from cloverhinge.lab.harness import answer, ask, site
 from cloverhinge.rtsp import messages
-from cloverhinge.rtsp.front import Front
-from cloverhinge.rtsp.intake import QUEUED_BYTES_MOST, QUEUED_MOST, TURN_MS, Intake, Queue, SetUp
+from cloverhinge.rtsp.front import RtspFrontend
+from cloverhinge.rtsp.intake import (
+    MAX_QUEUED_BYTES,
+    MAX_QUEUED_SET_UPS,
+    MAX_TURN_MS,
+    ReceivedSetUp,
+    SetUpQueue,
+    SetUpScheduler,
+)
 from tests.helpers import settings
 from tests.test_rtsp import Transport
 
 FLOOD = 200  # set-ups, as many as are read from one connection at once
 
 
-def message(number: int, body: bytes = b"") -> SetUp:
-    return SetUp(messages.Message("SETUP", "rtsp://media/x", 0, {"session": f"{number:016x}"}, body), 0.0)
+def message(number: int, body: bytes = b"") -> ReceivedSetUp:
+    return ReceivedSetUp(
+        messages.Message("SETUP", "rtsp://media/x", 0, {"session": f"{number:016x}"}, body), 0.0
+    )
 
 
 def set_up(number: int) -> bytes:
-    return messages.request(
+    return messages.encode_request(
         "SETUP",
         "rtsp://media/title",
         1,
@@ -41,11 +50,11 @@
 
     def __init__(self, clock: ManualClock, name: str, count: int, took: list[str]) -> None:
         self.clock, self.name, self.took = clock, name, took
-        self.queue = Queue()
+        self.queue = SetUpQueue()
         for number in range(count):
             self.queue.add(message(number))
 
-    def begin(self, one: SetUp) -> None:
+    def begin(self, one: ReceivedSetUp) -> None:
         self.took.append(self.name)
         self.clock.advance(self.cost_ms)
 
@@ -60,7 +69,9 @@
             begun.append(ask.session_id)
             clock.advance(3.0)
 
-    front = Front(Costly(settings(), 1, clock, deadlines), cast(ServerPort, None), clock, deadlines, most=4)
+    front = RtspFrontend(
+        Costly(settings(), 1, clock, deadlines), cast(ServerPort, None), clock, deadlines, max_connections=4
+    )
     lines = [front.buildProtocol(None) for _ in range(2)]
     for line in lines:
         cast(Any, line).makeConnection(cast(Any, Transport)())
@@ -89,10 +100,10 @@
 def test_sources_take_turns_and_a_turn_is_bounded() -> None:
     clock, took = ManualClock(), list[str]()
     deadlines = Deadlines(clock)
-    intake = Intake(deadlines)
+    intake = SetUpScheduler(deadlines)
     flood, usual = Asking(clock, "flood", 50, took), Asking(clock, "usual", 1, took)
     intake.offer(flood)
-    assert len(took) * flood.cost_ms <= TURN_MS + flood.cost_ms
+    assert len(took) * flood.cost_ms <= MAX_TURN_MS + flood.cost_ms
     intake.offer(usual)
     intake.offer(usual)  # once, however often it is offered
     deadlines.run()
@@ -103,15 +114,15 @@
 
 
 def test_a_queue_is_bounded_by_set_ups_and_by_bytes_and_forgets_what_is_cancelled() -> None:
-    queue = Queue()
-    for number in range(QUEUED_MOST):
+    queue = SetUpQueue()
+    for number in range(MAX_QUEUED_SET_UPS):
         assert not queue.full
         queue.add(message(number % 4))
     assert queue.full
     queue.cancel(f"{1:016x}")
-    assert len(queue) == QUEUED_MOST * 3 // 4 and not queue.full
+    assert len(queue) == MAX_QUEUED_SET_UPS * 3 // 4 and not queue.full
     queue.clear()
-    queue.add(message(1, b"x" * QUEUED_BYTES_MOST))
+    queue.add(message(1, b"x" * MAX_QUEUED_BYTES))
     assert queue.full
     queue.next()
     assert not queue.full and not len(queue)
@@ -119,7 +130,7 @@
 
 def test_a_cancellation_on_another_connection_finds_a_set_up_that_waits() -> None:
     clock, took = ManualClock(), list[str]()
-    intake = Intake(Deadlines(clock))
+    intake = SetUpScheduler(Deadlines(clock))
     source = Asking(clock, "flood", 50, took)
     intake.offer(source)
     begun = len(took)
--- a/tests/test_list_updates.py
+++ b/tests/test_list_updates.py
@@ -71,13 +71,13 @@
     log = DiscoveryWatch(None, ("127.0.0.1", 1), 0, deadlines, told.append, random.Random(1))
     log.connection = line = WatchConnection(log)
     log.when_caught_up(lambda: done.append(True), 3000.0)
-    log.heard(line, last)
+    log.line_received(line, last)
     assert line.gone and not done and log.seq == 0  # an event is missing: it is asked for again
     log.connection = line = WatchConnection(log)
-    log.heard(line, b'{"seq":1,"fleet":{"reset":true,"instances":[]}}')
+    log.line_received(line, b'{"seq":1,"fleet":{"reset":true,"instances":[]}}')
     assert not done
-    log.heard(line, last)
-    log.heard(line, last)
+    log.line_received(line, last)
+    log.line_received(line, last)
     assert done == [True] and len(told) == 1
 
 
--- a/tests/test_media_servers.py
+++ b/tests/test_media_servers.py
@@ -56,7 +56,7 @@
         self.router.update_fleet(
             api.ListKind.FULL, [api.ServerListing(n, n, kind="box") for n in range(boxes)]
         )
-        self.servers.follow({n: ServerAddress(n, f"box-{n}", "127.0.0.1", 1) for n in range(boxes)})
+        self.servers.update_list({n: ServerAddress(n, f"box-{n}", "127.0.0.1", 1) for n in range(boxes)})
         self.servers.start()
 
     def carry(self, server: int) -> Viewing:
@@ -91,7 +91,7 @@
     assert len(stand.reactor.factories) == 1, "thin traffic is no sign of a silent machine"
     stand.router.session_ended(stand.router.by_session_id[f"{7:016x}"], api.Outcome.SERVED)
     stand.pass_time(30_000)
-    assert len(stand.reactor.factories) == 1 and line.closing_ms, "idle lines are closed, not renewed"
+    assert len(stand.reactor.factories) == 1 and line.half_closed_ms, "idle lines are closed, not renewed"
 
 
 def test_a_pump_that_shows_that_it_lives_keeps_its_lines() -> None:
@@ -104,7 +104,9 @@
     assert len(stand.reactor.factories) == 2
     check = stand.up()
     stand.pass_time(500)
-    assert stand.servers.pools[1].connections == [line] and line.closing_ms is None and check.closing_ms
+    assert (
+        stand.servers.pools[1].connections == [line] and line.half_closed_ms is None and check.half_closed_ms
+    )
 
 
 def test_a_silent_pump_s_sessions_are_lost_within_8_s() -> None:
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -21,7 +21,7 @@
 from cloverhinge.rtsp import messages
 from cloverhinge.rtsp.client import RtspClient
 from cloverhinge.rtsp.client_connection import ClientConnection
-from cloverhinge.rtsp.front import Front
+from cloverhinge.rtsp.front import RtspFrontend
 from tests.helpers import settings
 from tests.test_rtsp import Transport
 
@@ -85,7 +85,7 @@
 
     clock, boxes = ManualClock(), cast(ServerPort, None)
     deadlines = Deadlines(clock)
-    front = Front(Router(settings(), 1, clock, deadlines), boxes, clock, deadlines, most=4)
+    front = RtspFrontend(Router(settings(), 1, clock, deadlines), boxes, clock, deadlines, max_connections=4)
     front.connections = Unseen(4)
 
     def connect(spoken: bool) -> ClientConnection:
@@ -93,16 +93,16 @@
         assert line is not None
         cast(Any, line).makeConnection(made)
         if spoken:
-            line.dataReceived(messages.request("OPTIONS", "rtsp://media/ping", 3, "00000000000000aa"))
+            line.dataReceived(messages.encode_request("OPTIONS", "rtsp://media/ping", 3, "00000000000000aa"))
         return line
 
     holding, resting, silent, later = (connect(spoken) for spoken in (True, True, False, False))
-    RtspClient(front, holding.handle, holding.peer, "s").stands(True)
+    RtspClient(front, holding.handle, holding.peer, "s").set_established(True)
     for goes in (silent, later, resting):
         assert not goes.gone
         connect(True)
         assert goes.gone
-        front.down(goes)
+        front.connection_closed(goes)
     assert not holding.gone
 
 
--- a/tests/test_rtsp.py
+++ b/tests/test_rtsp.py
@@ -9,7 +9,7 @@
 from twisted.internet.testing import StringTransport
 
 from cloverhinge.rtsp import messages
-from cloverhinge.rtsp.set_up import read_set_up
+from cloverhinge.rtsp.set_up import parse_set_up
 
 SETUP = (
     b"SETUP rtsp://media/7f3a RTSP/1.0\r\nCSeq: 1\r\nSession: 9b1f03aa5c7e2d41\r\nX-Call-Class: paid\r\n"
@@ -61,7 +61,7 @@
         ("SETUP", 0, b"a\r\nb\r\n\r\nc"),
         ("", 200, b""),
     ] * 2
-    assert not reader.midway and len(reader.buffer) == 0, "the buffer is compacted"
+    assert not reader.mid_message and len(reader.buffer) == 0, "the buffer is compacted"
 
 
 @given(st.binary(max_size=400))
@@ -74,7 +74,7 @@
 def test_a_set_up_is_read_as_the_protocol_says() -> None:
     reader = Reader()
     reader.dataReceived(SETUP)
-    ask, at = read_set_up(reader.seen[0])
+    ask, at = parse_set_up(reader.seen[0])
     assert (
         ask.session_id,
         ask.class_name,
@@ -98,8 +98,10 @@
 def test_what_is_written_can_be_read() -> None:
     reader = Reader()
     name = "9b1f03aa5c7e2d41"
-    reader.dataReceived(messages.request("TEARDOWN", "rtsp://media/x", 2, name, {"Reason": "cause=16"}))
-    reader.dataReceived(messages.response(503, "1", name, {"X-Hold-Off": "800"}, b"body"))
+    reader.dataReceived(
+        messages.encode_request("TEARDOWN", "rtsp://media/x", 2, name, {"Reason": "cause=16"})
+    )
+    reader.dataReceived(messages.encode_response(503, "1", name, {"X-Hold-Off": "800"}, b"body"))
     assert reader.seen[0].headers["reason"] == "cause=16"
     assert (reader.seen[1].status, reader.seen[1].headers["x-hold-off"], reader.seen[1].body) == (
         503,
