--- a/cloverhinge/discovery/__init__.py
+++ b/cloverhinge/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The list of media servers: its updates as JSON, and the watch on the service that tells them."""
+"""The list of media servers: its updates in JSON, and the watch on the discovery service that sends them."""
--- a/cloverhinge/discovery/updates.py
+++ b/cloverhinge/discovery/updates.py
@@ -1,4 +1,4 @@
-"""Updates of the list of media servers, as discovery writes them in JSON."""
+"""Parses the updates of the list of media servers that the discovery service sends as JSON."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerAddress:
-    """Where a listed box is reached."""
+    """Number, name and network address of a listed media server."""
 
     number: int
     name: str
@@ -25,10 +25,12 @@
 
 
 def server_number(name: str) -> int:
-    """The module's number for a box: alike at every router, as it picks a title's first holder by it.
+    """Return the number by which the decision module knows the media server of this id.
 
-    An id of the platform's form holds the number that the simulator gives the same box, so both programs
-    begin a title at the same holder.  Any other id is hashed, to a number that no such id has.
+    The number is the same at every router, because the module picks the first server of a title by it.  An id
+    of the platform's form (`s-` and 8 hexadecimal digits) contains the number that the simulator gives the
+    same server, so both programs start a title at the same server.  Any other id is hashed to a number that
+    is outside the range of the platform's ids.
     """
     if PLATFORM_ID.fullmatch(name):
         return int(name[2:], 16)
@@ -36,6 +38,10 @@
 
 
 def parse_instance(row: dict[str, Any]) -> tuple[ServerAddress, api.ServerListing]:
+    """Parse one row of the list.
+
+    Raises KeyError, TypeError, AttributeError or ValueError for a malformed row.
+    """
     name = str(row["instanceId"])
     host, port = parse_address(str(row["hostPort"]))
     number = server_number(name)
@@ -54,22 +60,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
+    """One update of the list: the whole list if `full`, otherwise only the rows that changed."""
+
     seq: int
     full: bool
     rows: tuple[tuple[ServerAddress, api.ServerListing], ...]
 
 
 def parse_update(event: Any) -> ListUpdate | None:
-    """None for a kind of event that this version does not know."""
+    """Parse an event of the change log; return None for a kind of event that this version does not know.
+
+    Raises ValueError if the event is malformed.
+    """
     if not isinstance(event, dict) or not isinstance(event.get("seq"), int):
-        raise ValueError("an event has a number")
+        raise ValueError("event has no integer sequence number")
     fleet = event.get("fleet")
     if fleet is None:
         return None
     if not isinstance(fleet, dict) or not isinstance(fleet.get("instances"), list):
-        raise ValueError("a list has instances")
+        raise ValueError("fleet update has no list of instances")
     try:
         rows = tuple(parse_instance(row) for row in fleet["instances"])
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"an instance is malformed: {error!r}") from error
+        raise ValueError(f"malformed instance: {error!r}") from error
     return ListUpdate(event["seq"], bool(fleet.get("reset")), rows)
--- a/cloverhinge/discovery/watch.py
+++ b/cloverhinge/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch on the list of media servers: follows discovery for good, over breaks, silence and moves."""
+"""Follows the discovery service's change log, across lost connections, silence and changes of its address."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 from cloverhinge.discovery.updates import ListUpdate, parse_update
 from cloverhinge.net.buffered import UNREAD_GRACE_MS, BufferedReceiver
 
-# What a silent log would have told counts as told after 4 s.  A heartbeat comes each second, so silence is
-# known 1.6 s after it began; a new connection that is silent too is given up 1.2 s later, and the one after
-# that has told its events by 3.0 s.  A second silent one would take until 4.3 s: that is not kept.
+# Events that a silent log withholds count as received 4 s after the silence began.  Heartbeats arrive every
+# second, so silence is detected after 1.6 s.  If the next connection is silent as well, it is given up 1.2 s
+# later, and the one after that has delivered its events by 3.0 s.  With a second silent reconnection it would
+# take until 4.3 s, which misses the limit.
 SILENCE_TIMEOUT_MS = 1600.0
 FIRST_LINE_TIMEOUT_MS = 1200.0
 CONNECT_TIMEOUT_MS = 700.0
@@ -26,6 +27,8 @@
 
 
 class WatchConnection(BufferedReceiver):
+    """A connection to the change log, which sends one JSON value per line."""
+
     MAX_LENGTH = MAX_LINE_BYTES
     delimiter = b"\n"
 
@@ -47,7 +50,7 @@
 
 
 class _ConnectAttempt(ClientFactory):
-    """One try to connect.  What comes of it later than the next try is not listened to."""
+    """One attempt to connect.  Its result is ignored once a later attempt has begun."""
 
     noisy = False
 
@@ -63,7 +66,10 @@
 
 
 class DiscoveryWatch:
-    """Follows the change log for good: resumes after the last event it has, takes silence for a break."""
+    """Follows the change log until the process ends.
+
+    Each connection resumes after the last event received.  A silent connection is treated as broken.
+    """
 
     log = Logger()
 
@@ -81,17 +87,15 @@
         self.connection: WatchConnection | None = None
         self.current_attempt: _ConnectAttempt | None = None
         self.connector: Any = None
-        self.refetched_gap: tuple[int, int] | None = (
-            None  # a gap that the log has been asked to fill: its ends
-        )
+        self.refetched_gap: tuple[int, int] | None = None  # ends of the gap that was last requested again
         self.silence_deadline: DeadlineKey | None = None
-        self.retry_deadline: DeadlineKey | None = None  # before the next try
+        self.retry_deadline: DeadlineKey | None = None
         self.backoff_ms = BACKOFF_MS[0]
         self.stopped = False
-        self.caught_up_callback: tuple[DeadlineKey, Callable[[], None]] | None = None  # for the last event
+        self.caught_up_callback: tuple[DeadlineKey, Callable[[], None]] | None = None
 
     def when_caught_up(self, call: Callable[[], None], timeout_ms: float) -> None:
-        """Once a heartbeat has shown that nothing later is known, or after that time without one."""
+        """Call `call` once a heartbeat shows that no event is missing, or after `timeout_ms` without one."""
         self.caught_up_callback = self.deadlines.after(timeout_ms, self._caught_up), call
 
     def _caught_up(self) -> None:
@@ -101,6 +105,7 @@
             call()
 
     def start(self) -> None:
+        """Begin an attempt to connect, unless the watch is stopped."""
         self.retry_deadline = None
         if self.stopped:
             return
@@ -109,9 +114,9 @@
         self.connector = self.reactor.connectTCP(*self.address, self.current_attempt, timeout=30)
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """The log has moved: ask there at once for what comes after the last event.
+        """Connect to the change log's new address at once and resume after the last event received.
 
-        Guards against waiting for the old one, which tells nothing any more though it may stay open.
+        The old connection is aborted: it may stay open, but no further events arrive on it.
         """
         if address == self.address:
             return
@@ -127,6 +132,7 @@
         self.start()
 
     def connected(self, connection: WatchConnection) -> None:
+        """Request all events after the last one received."""
         self.connection = connection
         connection.send(f"since {self.seq}\n".encode())
         self._restart_silence_timer(FIRST_LINE_TIMEOUT_MS)
@@ -136,22 +142,23 @@
         self.silence_deadline = self.deadlines.after(limit_ms, self.silence_timed_out)
 
     def silence_timed_out(self) -> None:
-        """Guards against a log that stands still on an open connection, or never takes a new one."""
+        """Give up a connection on which nothing arrives, or an attempt that is not accepted in time."""
         self.silence_deadline = None
         if self.connection is not None and self.connection.unread:
-            self._restart_silence_timer(UNREAD_GRACE_MS)  # it has spoken while this process stood still
+            self._restart_silence_timer(UNREAD_GRACE_MS)  # it arrived while this process was paused
             return
-        self.log.info("change log: silent, connecting anew after event {seq}", seq=self.seq)
+        self.log.info("change log: no data received; reconnecting after event {seq}", seq=self.seq)
         if self.connection is not None:
             self.connection.drop()
         elif self.connector is not None:
             self.connector.stopConnecting()
 
     def connect_failed(self) -> None:
-        """The current try has come to nothing."""
+        """The current attempt to connect has failed."""
         self._schedule_retry()
 
     def connection_lost(self, connection: WatchConnection) -> None:
+        """Schedule a new attempt if the connection is the current one."""
         if self.connection is connection:
             self.connection = None
             self._schedule_retry()
@@ -165,6 +172,7 @@
             self.backoff_ms = min(self.backoff_ms * 2, BACKOFF_MS[1])
 
     def line_received(self, connection: WatchConnection, text: bytes) -> None:
+        """Process a heartbeat or an event; a malformed line ends the connection."""
         if connection is not self.connection:
             return
         try:
@@ -176,7 +184,7 @@
             return
         self._restart_silence_timer(SILENCE_TIMEOUT_MS)
         last = value if isinstance(value, int) else value["seq"]
-        if isinstance(value, int) or len(value) == 1:  # the last number alone: the heartbeat
+        if isinstance(value, int) or len(value) == 1:  # a heartbeat: the last sequence number alone
             self._heartbeat(connection, last)
         elif last > self.seq and not self._refetch_gap(connection, last, change):
             self.seq, self.backoff_ms = last, BACKOFF_MS[0]
@@ -184,20 +192,28 @@
                 self.on_update(change)
 
     def _heartbeat(self, connection: WatchConnection, last: int) -> None:
-        """Guards against calls without pause at a log that is ahead of what it tells."""
-        if last > self.seq:  # events are missing: ask for them again
+        """Process a heartbeat with the log's last sequence number.
+
+        The backoff is reset only if no event is missing.  Otherwise a log whose heartbeats run ahead of the
+        events that it sends would be reconnected to without a pause.
+        """
+        if last > self.seq:  # events are missing: request them again
             connection.drop()
         else:
             self.backoff_ms = BACKOFF_MS[0]
             self._caught_up()
 
     def _refetch_gap(self, connection: WatchConnection, last: int, change: ListUpdate | None) -> bool:
-        """Guards against events that got lost: a gap is asked for once more, and taken if it is told again.
-        A whole list leaves no gap."""
+        """Drop the connection and return True if events before `last` are missing, on the first such request.
+
+        A gap that remains after the second request is accepted.  A full list leaves no gap.
+        """
         gap = self.seq, last
         if last == self.seq + 1 or (change is not None and change.full) or self.refetched_gap == gap:
             return False
         self.refetched_gap = gap
-        self.log.info("change log: event {last} after {seq}, asks again", last=last, seq=self.seq)
+        self.log.info(
+            "change log: event {last} follows {seq}; requesting the missing events", last=last, seq=self.seq
+        )
         connection.drop()
         return True
--- a/cloverhinge/net/__init__.py
+++ b/cloverhinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""Connections with one buffer each, for every wire of the platform."""
+"""Buffered TCP connections, shared by all protocols of the platform."""
--- a/cloverhinge/net/buffered.py
+++ b/cloverhinge/net/buffered.py
@@ -9,18 +9,19 @@
 from twisted.protocols.basic import LineReceiver
 from zope.interface import implementer
 
-MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, headers and body
-UNREAD_GRACE_MS = 50.0  # for the reactor to read what lies in a socket
+MAX_MESSAGE_BYTES = 16 * 1024  # of one message, headers and body together
+UNREAD_GRACE_MS = 50.0  # time for the reactor to read data that is already in a socket's buffer
 
 
 @implementer(IPushProducer)
 class BufferedReceiver(LineReceiver):
-    """Keeps LineReceiver's interface (`lineReceived`, `rawDataReceived`, the modes) over one `bytearray`.
+    """Implements LineReceiver's interface (`lineReceived`, `rawDataReceived`, the modes) on one `bytearray`.
 
-    The buffer grows as it needs and is compacted once for each piece of input, after what could be read from
-    it has been read.  In raw mode `rawDataReceived` gets exactly the `expected` bytes, in one piece.
-    Guards: input over `MAX_LENGTH` goes to `oversized`, and a peer that doesn't read what it is sent is cut
-    off once the transport's buffer is full, so neither buffer grows without bound.
+    The buffer grows as needed and is compacted once per chunk of input, after all complete lines and raw
+    pieces in it have been delivered.  In raw mode `rawDataReceived` gets exactly `expected` bytes, in one
+    piece.  Neither buffer grows without bound: more than `MAX_LENGTH` undelivered bytes lead to a call of
+    `oversized`, and the connection to a peer that doesn't read is aborted once the transport's write buffer
+    is full.
     """
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
@@ -36,6 +37,7 @@
         transport.registerProducer(self, True)
 
     def pauseProducing(self) -> None:
+        """Abort the connection: the transport's write buffer is full."""
         self.drop()
 
     def resumeProducing(self) -> None:
@@ -72,10 +74,14 @@
         self.line_mode = 1
 
     def oversized(self) -> None:
+        """Called when more than `MAX_LENGTH` bytes wait in the buffer; aborts the connection by default."""
         self.drop()
 
     def peek(self) -> bytes | None:
-        """Some of what lies unread in the socket; nothing at its end, None where nothing has come."""
+        """Return the next unread byte of the socket without consuming it.
+
+        Returns `b""` at the end of the stream or after an error, and None if no data has arrived.
+        """
         transport: Any = self.transport
         try:
             unread: bytes = transport.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -87,11 +93,11 @@
 
     @property
     def unread(self) -> bool:
-        """Something lies in the socket that has not been read."""
+        """Whether the connection is open and the socket holds data that has not been read."""
         return not self.gone and bool(self.peek())
 
     def drop(self) -> None:
-        """Cut the connection at once; nothing more is read from it."""
+        """Abort the connection at once; nothing more is read from it."""
         self.gone = True
         transport: Any = self.transport
         if transport is not None:
@@ -106,6 +112,7 @@
             transport.loseConnection()
 
     def send(self, data: bytes) -> None:
+        """Write `data`, or discard it if the connection is closed."""
         transport: Any = self.transport
         if not self.gone and transport is not None:
             transport.write(data)
--- a/cloverhinge/rtsp/__init__.py
+++ b/cloverhinge/rtsp/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's RTSP: its messages, the front towards clients, and the connections to media servers."""
+"""The platform's RTSP: its messages, the front end for clients, and the connections to media servers."""
--- a/cloverhinge/rtsp/client.py
+++ b/cloverhinge/rtsp/client.py
@@ -1,4 +1,4 @@
-"""The core's view of one client that asked for a session over RTSP."""
+"""The core's port towards a client of one RTSP session."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class RtspClient:
-    """The core's `Viewer` for one session asked for over RTSP."""
+    """Implements the core's `ClientPort` for one session that was requested over RTSP."""
 
     def __init__(self, front: RtspFrontend, connection_handle: int, peer: str, session_id: str) -> None:
-        """`handle` of the connection that it came on; 0: on none of this router's."""
+        """`connection_handle` is that of the request's connection, or 0 if it is not at this router."""
         self.front, self.connection_handle, self.peer, self.session_id = (
             front,
             connection_handle,
@@ -27,25 +27,28 @@
         self.established = False
 
     def settle_set_up(self) -> ClientConnection | None:
-        """Nothing is owed on its connection any more; the connection, where it is still open."""
+        """Note that the set-up needs no further answer; return its connection if that is still open."""
         connection = self.front.connections.get(self.connection_handle)
         if connection is not None and connection.unanswered.pop(self.session_id, None) is not None:
             self.front.update_rank(connection)
         return connection
 
     def presence(self) -> Presence:
+        """Whether the client is still there, as its connection shows at this moment."""
         connection = self.front.connections.get(self.connection_handle)
         return Presence.GONE if connection is None else connection.presence()
 
     def left(self, may_have_run: bool) -> None:
+        """The core has ended the request because the client is gone; no answer is due."""
         self.settle_set_up()
 
-    def set_established(self, now: bool) -> None:
+    def set_established(self, established: bool) -> None:
+        """Set whether the session is established, and update the session count of its connection."""
         connection = self.front.connections.get(self.connection_handle)
-        if connection is not None and now != self.established:
-            connection.established_sessions += 1 if now else -1
+        if connection is not None and established != self.established:
+            connection.established_sessions += 1 if established else -1
             self.front.update_rank(connection)
-        self.established = now
+        self.established = established
 
     def _answer(self, status: int, fields: dict[str, str] | None = None, body: bytes = b"") -> None:
         connection = self.settle_set_up()
@@ -53,22 +56,28 @@
             connection.send(messages.encode_response(status, "1", self.session_id, fields, body))
 
     def served(self, answer: bytes) -> None:
+        """Send the media server's answer; the session is established."""
         self.set_established(True)
         self._answer(200, None, answer)
 
     def refused(self, hold_off_ms: float, ticket: str = "") -> None:
-        """The door's quotes may lie behind what the settings let be told: who comes back earlier is told
-        more."""
-        told = min(hold_off_ms, self.front.router.settings.max_retry_after_us / 1000.0)
-        fields = {"X-Hold-Off": str(round(told))} if told > 0 else {}
+        """Answer that the request was refused, with the time after which to retry and the reservation token.
+
+        The admission queue's estimate may exceed the maximum of the settings, which is then sent instead; a
+        client that comes back too early for its estimate is told a further time.
+        """
+        sent_ms = min(hold_off_ms, self.front.router.settings.max_retry_after_us / 1000.0)
+        fields = {"X-Hold-Off": str(round(sent_ms))} if sent_ms > 0 else {}
         if ticket:
             fields["X-Ticket"] = ticket
         self._answer(503, fields)
 
     def failed(self, why: Outcome | None) -> None:
+        """Answer that the set-up failed or timed out."""
         self._answer(504 if why is Outcome.TIMEOUT else 500)
 
     def released(self, cause: Cause) -> None:
+        """Tell the client that its session has ended."""
         self.set_established(False)
         self.front.deliver(
             self,
@@ -78,6 +87,7 @@
         )
 
     def moved(self) -> None:
+        """Redirect the client: its session has been ended here in order to be moved."""
         self.set_established(False)
         self.front.deliver(
             self, messages.encode_request("REDIRECT", "rtsp://media/session", 5, self.session_id)
--- a/cloverhinge/rtsp/client_connection.py
+++ b/cloverhinge/rtsp/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of clients, and what of it is owed an answer."""
+"""One RTSP connection from clients, and its set-ups that are not answered yet."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
     from cloverhinge.rtsp.front import RtspFrontend
 
 FIRST_MESSAGE_TIMEOUT_MS = (
-    2500.0  # a connection that has brought no whole message so long after it was taken is closed
+    2500.0  # from accepting a connection to its first complete message; closed afterwards
 )
-PARTIAL_MESSAGE_TIMEOUT_MS = 2000.0  # so is one whose message is not whole so long after its first byte
+PARTIAL_MESSAGE_TIMEOUT_MS = 2000.0  # from the first byte of a message to its last; closed afterwards
 
 
 class ClientConnection(messages.RtspProtocol):
-    """One connection of viewers."""
+    """A connection from one or more clients."""
 
     def __init__(self, front: RtspFrontend, peer: str) -> None:
         super().__init__()
         self.front, self.peer = front, peer
         self.handle = 0
         self.rank: dict[int, ClientConnection] = front.awaiting_message
-        self.unanswered: dict[str, Request] = {}  # set-ups that are owed an answer here
-        self.queue = SetUpQueue()  # set-ups that have been read and not begun
-        self.paused = False  # nothing is read while the queue is full
-        self.established_sessions = 0  # sessions that were set up on it
-        self.has_sent_message = False  # a whole message has come
-        self.opened_ms = 0.0  # the connection's start
-        self.last_message_ms = 0.0  # its last whole message
-        self.half_closed_ms: float | None = None  # half-closed since
-        self.partial_since_ms: float | None = None  # the first byte of the message that is not whole yet
+        self.unanswered: dict[str, Request] = {}  # open set-ups to answer on this connection, by session id
+        self.queue = SetUpQueue()  # set-ups that have been read but not begun
+        self.paused = False  # whether reading is paused because the queue is full
+        self.established_sessions = 0  # number of established sessions that were set up here
+        self.has_sent_message = False  # whether a complete message has been received
+        self.opened_ms = 0.0  # when the connection was accepted
+        self.last_message_ms = 0.0  # when its last complete message was received
+        self.half_closed_ms: float | None = None  # when it was half-closed
+        self.partial_since_ms: float | None = None  # when the incomplete message began
 
     def connectionMade(self) -> None:
         super().connectionMade()
@@ -55,14 +55,17 @@
             self._set_paused(True)
 
     def _set_paused(self, paused: bool) -> None:
-        """Guards memory against a flood on one connection."""
+        """Pause or resume reading, so that a flood on one connection takes bounded memory."""
         transport: Any = self.transport
         if paused != self.paused:
             self.paused = paused
             (transport.stopReading if paused else transport.startReading)()
 
     def begin(self, one: ReceivedSetUp) -> None:
-        """What came behind it in the same input has been read, so it has not been cancelled there."""
+        """Pass a set-up to the core, or answer it if it is invalid.
+
+        All input received together with it has been processed, so it was not cancelled there.
+        """
         if self.gone:
             self.queue.clear()
             return
@@ -75,20 +78,23 @@
             self._set_paused(False)
 
     def presence(self) -> Presence:
-        """What the connection shows of its client now, without reading from it."""
+        """Whether the client is still there, as the connection shows without reading from it."""
         unread = None if self.gone else self.peek()
         if self.gone or unread == b"":
             return Presence.GONE
         return Presence.UNREAD if unread else Presence.PRESENT
 
     def half_close(self) -> None:
-        """Nothing more is written; what comes is read until the viewer closes too."""
+        """Close the sending side; data is still read until the client closes too."""
         transport: Any = self.transport
         transport.unregisterProducer()
         transport.loseWriteConnection()
 
     def overdue(self, now: float) -> bool:
-        """Guards against clients that say nothing, or say it byte by byte: no byte renews the time."""
+        """Whether the first message, or the rest of an incomplete one, has not arrived in time.
+
+        Single bytes do not extend the time, so a client that trickles its input is closed as well.
+        """
         if not self.has_sent_message:
             return now - self.opened_ms > FIRST_MESSAGE_TIMEOUT_MS
         return self.partial_since_ms is not None and now - self.partial_since_ms > PARTIAL_MESSAGE_TIMEOUT_MS
@@ -101,9 +107,9 @@
         self.front.update_rank(self)
         cseq, name = message.headers.get("cseq", "0"), message.session_id
         if message.status or self.half_closed_ms is not None:
-            return  # a viewer heard a release, or sends anew what crosses the connection's end
+            return  # a client's answer, or a request after the half-close, which the client repeats elsewhere
         if message.method == "SETUP":
-            if is_hand_over(message):  # it plays already, so its end has to reach the server whatever follows
+            if is_hand_over(message):  # already playing: its later end must reach the server
                 self.front.set_up(self, ReceivedSetUp(message, self.last_message_ms))
             else:
                 self.queue.add(ReceivedSetUp(message, self.last_message_ms))
--- a/cloverhinge/rtsp/front.py
+++ b/cloverhinge/rtsp/front.py
@@ -1,4 +1,4 @@
-"""The platform's front: clients' set-ups over RTSP, and the table of their connections."""
+"""The RTSP front end: accepts clients' connections and passes their set-ups to the core."""
 
 from __future__ import annotations
 
@@ -24,16 +24,18 @@
 from cloverhinge.rtsp.set_up import parse_set_up
 
 SWEEP_INTERVAL_MS = 250.0
-MAX_EVICTION_CANDIDATES = 16  # connections of a rank that are looked at to make room for one
-CLOSING_SHARE = 1 / 3  # of the table's size: connections on their way out, beside a full table
-FIRST_SET_UP_GRACE_MS = 200.0  # a connection's first set-up is on its way for so long
-HALF_CLOSED_GRACE_MS = 100.0  # what crosses the announced end of a connection is here so soon
-UNDELIVERED_TTL_MS = 8000.0  # a release waits so long for a connection of its viewers
-MAX_UNDELIVERED = 2048
-BUSY_RETRY_AFTER_MS = 1000.0  # told where every slot for requests is taken
+MAX_EVICTION_CANDIDATES = 16  # connections of one rank examined to close one of them
+CLOSING_SHARE = 1 / 3  # of the table's size: connections still closing, in addition to a full table
+FIRST_SET_UP_GRACE_MS = 200.0  # a new connection's first set-up may still be on its way
+HALF_CLOSED_GRACE_MS = 100.0  # data sent before the client sees the half-close arrives within this time
+UNDELIVERED_TTL_MS = 8000.0  # how long a release waits for a connection from a client
+MAX_UNDELIVERED = 2048  # releases that wait; beyond it the oldest is discarded
+BUSY_RETRY_AFTER_MS = 1000.0  # sent when every slot for requests is taken
 
 
 class RtspFrontend(ServerFactory):
+    """Accepts the RTSP connections of clients, up to a limit, and handles the set-ups received on them."""
+
     log = Logger()
     noisy = False
 
@@ -43,31 +45,37 @@
         self.router, self.servers, self.clock, self.deadlines = router, servers, clock, deadlines
         self.connections: SlotTable[ClientConnection] = SlotTable(max_connections)
         self.scheduler = SetUpScheduler(deadlines)
-        # Who makes room when the table is full: the first of the first that is not empty.
-        self.awaiting_message: dict[int, ClientConnection] = {}  # by handle, the earliest taken first
-        self.idle: dict[int, ClientConnection] = {}  # spoke, no session stands; the longest silent first
-        self.with_sessions: dict[
-            int, ClientConnection
-        ] = {}  # sessions that were set up on it stand; as before
-        self.busy: dict[int, ClientConnection] = {}  # owed an answer: they stay
-        self.open_connections = 0  # those on their way out included
+        # The ranks, by connection handle, in the order in which they are searched for a connection to close
+        # when the table is full.
+        self.awaiting_message: dict[int, ClientConnection] = {}  # no message yet; oldest first
+        self.idle: dict[int, ClientConnection] = {}  # without sessions; longest silent first
+        self.with_sessions: dict[int, ClientConnection] = {}  # with established ones; same order
+        self.busy: dict[int, ClientConnection] = {}  # with unanswered set-ups: never closed for this
+        self.open_connections = 0  # including those that are closing
         self.undelivered: deque[tuple[float, bytes]] = deque(maxlen=MAX_UNDELIVERED)
         self.ready = True
-        # Of the door: peer, client, proof and session to the client's number; ValueError where it is forged.
+        # Set by admission: maps peer, client, proof and session id to the client's number.  Raises ValueError
+        # if the proof is forged.
         self.identify: Callable[[str, str, str, str], int] | None = None
-        # Of custody: what the box answered to the session's set-up.
+        # Set by ownership: the media server's answer to the set-up of a session.
         self.replicated_answer: Callable[[str], bytes] | None = None
 
     def start(self) -> None:
+        """Start the periodic sweep."""
         self._sweep()
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
-        """Guards the descriptors: one that was told to make room is gone only in the reactor's next round."""
+        """Refuse a connection when too many are open.
+
+        This bounds the file descriptors: a connection that `_evict_one` closes stays open until the next
+        iteration of the reactor.
+        """
         if self.open_connections >= self.connections.capacity * (1 + CLOSING_SHARE):
             return None
         return ClientConnection(self, str(getattr(addr, "host", "")))
 
     def connection_opened(self, connection: ClientConnection) -> None:
+        """Enter a connection into the table, or abort it if the table is full and none can be closed."""
         self.open_connections += 1
         connection.opened_ms = connection.last_message_ms = self.clock.now()
         if self.connections.full and not self._evict_one():
@@ -77,9 +85,10 @@
         self.awaiting_message[connection.handle] = connection
 
     def _evict_one(self) -> bool:
-        """Close the connection that has rested the longest, unless a request may lie unread on it.
+        """Close the longest idle connection of the first rank that has one; return False if there is none.
 
-        Guards the descriptors, and usual viewers against floods.
+        Connections that may hold an unread request are passed over.  This bounds the file descriptors, and a
+        flood of silent connections does not displace normal clients.
         """
         for rank in (self.awaiting_message, self.idle, self.with_sessions):
             for connection in islice(rank.values(), MAX_EVICTION_CANDIDATES):
@@ -90,7 +99,7 @@
         return False
 
     def update_rank(self, connection: ClientConnection) -> None:
-        """Behind all others of the rank that is its now."""
+        """Move a connection to the end of the rank that fits its present state."""
         if connection.handle and connection.rank.pop(connection.handle, None) is not None:
             connection.rank = (
                 self.busy
@@ -104,10 +113,12 @@
             connection.rank[connection.handle] = connection
 
     def remove(self, connection: ClientConnection) -> None:
+        """Remove a connection from the table and from its rank."""
         self.connections.free(connection.handle)
         connection.rank.pop(connection.handle, None)
 
     def connection_closed(self, connection: ClientConnection) -> None:
+        """Remove a connection and give up its open set-ups."""
         self.open_connections -= 1
         self.remove(connection)
         connection.queue.clear()
@@ -116,64 +127,77 @@
                 self.router.viewer_left(request)
         connection.unanswered.clear()
 
-    def set_up(self, connection: ClientConnection, one: ReceivedSetUp) -> None:
-        message = one.message
-        ask, at = parse_set_up(message)
-        ask = replace(ask, wait_ms=max(0.0, ask.wait_ms - (self.clock.now() - one.read_ms)))
-        if ask.class_name not in self.router.classes:
+    def set_up(self, connection: ClientConnection, received: ReceivedSetUp) -> None:
+        """Pass a set-up to the core, or answer it.  Raises MalformedMessage if it is invalid.
+
+        The time that it waited since it was read is subtracted from its time limit.
+        """
+        message = received.message
+        set_up, at = parse_set_up(message)
+        set_up = replace(set_up, wait_ms=max(0.0, set_up.wait_ms - (self.clock.now() - received.read_ms)))
+        if set_up.class_name not in self.router.classes:
             raise messages.MalformedMessage("unknown class", 400)
         if self.identify is not None:
-            words = [message.headers.get(x, "") for x in ("x-client", "x-client-proof")]
+            credentials = [message.headers.get(x, "") for x in ("x-client", "x-client-proof")]
             try:
-                client = self.identify(connection.peer, words[0], words[1], ask.session_id)
+                client_number = self.identify(
+                    connection.peer, credentials[0], credentials[1], set_up.session_id
+                )
             except ValueError as error:
-                connection.send(messages.encode_response(403, "1", ask.session_id, {"X-Why": str(error)}))
+                connection.send(messages.encode_response(403, "1", set_up.session_id, {"X-Why": str(error)}))
                 return
-            ask = replace(
-                ask,
+            set_up = replace(
+                set_up,
                 peer_address=connection.peer,
-                client_number=client,
+                client_number=client_number,
                 reservation_token=message.headers.get("x-ticket", ""),
             )
-        viewer = RtspClient(self, connection.handle, connection.peer, ask.session_id)
-        if self.replicated_answer is not None and self._reattach(connection, ask.session_id, bool(at)):
+        client = RtspClient(self, connection.handle, connection.peer, set_up.session_id)
+        if self.replicated_answer is not None and self._reattach(connection, set_up.session_id, bool(at)):
             return
         if at:
-            if self.router.adopt(ask, server_number(at), viewer, self.servers) is not None:
-                viewer.set_established(True)
-        elif ask.session_id in self.router.by_session_id:
-            connection.send(messages.encode_response(455, "1", ask.session_id))
-        elif (request := self.router.open_request(ask, viewer, self.servers)) is None:
+            if self.router.adopt(set_up, server_number(at), client, self.servers) is not None:
+                client.set_established(True)
+        elif set_up.session_id in self.router.by_session_id:
+            connection.send(messages.encode_response(455, "1", set_up.session_id))
+        elif (request := self.router.open_request(set_up, client, self.servers)) is None:
             connection.send(
                 messages.encode_response(
-                    503, "1", ask.session_id, {"X-Hold-Off": str(round(BUSY_RETRY_AFTER_MS))}
+                    503, "1", set_up.session_id, {"X-Hold-Off": str(round(BUSY_RETRY_AFTER_MS))}
                 )
             )
         elif request.state is State.OPEN:
-            connection.unanswered[ask.session_id] = request
+            connection.unanswered[set_up.session_id] = request
 
-    def _reattach(self, connection: ClientConnection, name: str, stood: bool) -> bool:
-        """Whether this is the viewer of a session that was taken over, or whose connection is gone."""
-        held = self.router.by_session_id.get(name)
-        viewer = None if held is None else held.client
-        if held is None or held.state is not State.ESTABLISHED or not isinstance(viewer, RtspClient):
+    def _reattach(self, connection: ClientConnection, session_id: str, established: bool) -> bool:
+        """Attach an established session whose connection is gone to the connection that requests it again.
+
+        This is the case after a takeover from another router, or when the client reconnects.  `established`
+        tells that the client handed the session over as playing, in which case no answer is due.  Returns
+        False if there is no such session.
+        """
+        request = self.router.by_session_id.get(session_id)
+        client = None if request is None else request.client
+        if request is None or request.state is not State.ESTABLISHED or not isinstance(client, RtspClient):
             return False
-        before = self.connections.get(viewer.connection_handle)
-        if before is not None and not before.gone:
+        previous = self.connections.get(client.connection_handle)
+        if previous is not None and not previous.gone:
             return False
-        viewer.set_established(False)
-        viewer.connection_handle, viewer.peer = connection.handle, connection.peer
-        viewer.set_established(True)
-        if not stood and self.replicated_answer is not None:
-            connection.send(messages.encode_response(200, "1", name, None, self.replicated_answer(name)))
+        client.set_established(False)
+        client.connection_handle, client.peer = connection.handle, connection.peer
+        client.set_established(True)
+        if not established and self.replicated_answer is not None:
+            connection.send(
+                messages.encode_response(200, "1", session_id, None, self.replicated_answer(session_id))
+            )
         return True
 
     def close_idle(self, now: float) -> int:
-        """Another process accepts from here on: each connection is ended at a moment at which nothing is open
-        on it and nothing unread, so what is sent to it later comes to a new one.  Returns how many are left.
+        """Close idle connections while another process accepts new ones; return how many are still open.
 
-        Its end is announced first and what still comes is read: closing over something unread would reset the
-        connection, and the viewer might lose the answer before it.
+        A connection is ended only when no set-up is open on it and no data unread, so that the client sends
+        what follows on a new connection.  It is half-closed first, and what still arrives is read: closing it
+        with data unread would reset it, and the client might lose the answer before.
         """
         left = 0
         for connection in self.connections:
@@ -189,21 +213,25 @@
                 connection.half_close()
         return left
 
-    def deliver(self, viewer: RtspClient, data: bytes) -> None:
-        """Towards whoever holds the session: on its connection, else on the last of its host to speak, else
-        on the last of all.  Guards against releases told to a connection that is no viewer's."""
-        connection = self.connections.get(viewer.connection_handle)
+    def deliver(self, client: RtspClient, data: bytes) -> None:
+        """Send a message to the client of a session.
+
+        It goes to the session's connection, else to the connection of the client's host that sent a message
+        last, else to any connection that sent one last.  Connections without a complete message are excluded,
+        as they may not be a client's.  Without any connection the message is kept for a later one.
+        """
+        connection = self.connections.get(client.connection_handle)
         if connection is None or connection.gone:
-            spoken = [x for x in self.connections if x.has_sent_message and not x.gone]
-            spoken.sort(key=lambda x: (x.peer == viewer.peer, x.last_message_ms))
-            connection = spoken[-1] if spoken else None
+            candidates = [x for x in self.connections if x.has_sent_message and not x.gone]
+            candidates.sort(key=lambda x: (x.peer == client.peer, x.last_message_ms))
+            connection = candidates[-1] if candidates else None
         if connection is not None:
             connection.send(data)
         else:
             self.undelivered.append((self.clock.now(), data))
 
     def first_message_received(self, connection: ClientConnection) -> None:
-        """The first whole message on a connection: it is a viewer's."""
+        """Send the kept messages: the connection's first complete message shows that it is a client's."""
         while self.undelivered:
             connection.send(self.undelivered.popleft()[1])
 
@@ -212,7 +240,8 @@
         while self.undelivered and now - self.undelivered[0][0] > UNDELIVERED_TTL_MS:
             self.undelivered.popleft()
         for connection in self.connections:
-            # Guards against closing over a whole request after a pause, as timers run ahead of the sockets.
+            # After a pause of this process timers run before the sockets are read: an overdue connection may
+            # hold a complete request that is still unread.
             if connection.overdue(now) and not connection.unread:
                 connection.close()
         self.deadlines.after(SWEEP_INTERVAL_MS, self._sweep)
--- a/cloverhinge/rtsp/intake.py
+++ b/cloverhinge/rtsp/intake.py
@@ -1,8 +1,8 @@
-"""Set-ups that have been read and not begun yet, taken in turns from the connections that they came on.
+"""Set-up requests that have been read and not begun yet, scheduled round-robin over their connections.
 
-A set-up costs some milliseconds of decisions, and one connection may bring hundreds at once.  Each turn of
-the reactor begins what fits into a bounded time, one of each connection after the other, so a flood delays
-others by about one set-up for each connection that floods.
+Deciding on a set-up takes some milliseconds, and one connection may send hundreds at once.  Each iteration of
+the reactor begins as many as fit into a bounded time, one per connection in turn, so a flood delays the
+set-ups of other connections by about one set-up for each flooding connection.
 """
 
 from __future__ import annotations
@@ -14,23 +14,21 @@
 from cloverhinge.core.deadlines import Deadlines
 from cloverhinge.rtsp import messages
 
-MAX_TURN_MS = 10.0  # set-ups are begun for so long before other connections are read; a few of them
-MAX_QUEUED_SET_UPS = (
-    256  # set-ups of one connection; beyond that nothing is read from it until some have begun
-)
-MAX_QUEUED_BYTES = 64 * 1024  # and their bodies together: as much as is read at once
+MAX_TURN_MS = 10.0  # time for beginning set-ups, a few of them, before other connections are read again
+MAX_QUEUED_SET_UPS = 256  # per connection; reading from it is paused until some have begun
+MAX_QUEUED_BYTES = 64 * 1024  # total size of their bodies: as much as is read at once
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedSetUp:
-    """A set-up as it was read, and when."""
+    """A set-up request as read, and the time when it was read."""
 
     message: messages.Message
     read_ms: float
 
 
 class SetUpQueue:
-    """The set-ups of one connection, in their order."""
+    """The set-ups of one connection, in order of arrival."""
 
     def __init__(self) -> None:
         self._waiting: deque[ReceivedSetUp] = deque()
@@ -41,22 +39,26 @@
 
     @property
     def full(self) -> bool:
+        """Whether the limit on the number or on the total size is reached."""
         return len(self._waiting) >= MAX_QUEUED_SET_UPS or self._bytes >= MAX_QUEUED_BYTES
 
     def add(self, one: ReceivedSetUp) -> None:
+        """Append a set-up; the caller checks `full`."""
         self._waiting.append(one)
         self._bytes += len(one.message.body)
 
     def next(self) -> ReceivedSetUp:
+        """Remove and return the first set-up.  Raises IndexError if there is none."""
         one = self._waiting.popleft()
         self._bytes -= len(one.message.body)
         return one
 
     def contains(self, session: str) -> bool:
+        """Whether a set-up of this session waits."""
         return any(one.message.session_id == session for one in self._waiting)
 
     def cancel(self, session: str) -> None:
-        """Forget those of a session, as their client has."""
+        """Remove the set-ups of a session that its client has cancelled."""
         if not self.contains(session):
             return
         left = [one for one in self._waiting if one.message.session_id != session]
@@ -65,21 +67,22 @@
             self.add(one)
 
     def clear(self) -> None:
+        """Remove all set-ups."""
         self._waiting.clear()
         self._bytes = 0
 
 
 class SetUpSource(Protocol):
-    """A connection with set-ups that wait."""
+    """A connection with a queue of set-ups."""
 
     queue: SetUpQueue
 
     def begin(self, one: ReceivedSetUp) -> None:
-        """Hand it to the core, or answer it."""
+        """Pass the set-up to the core, or answer it."""
 
 
 class SetUpScheduler:
-    """Begins set-ups in turns.  Each source is known to it once, while something waits there."""
+    """Begins queued set-ups round-robin.  A source is registered once, while its queue is not empty."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.deadlines = deadlines
@@ -88,7 +91,7 @@
         self._scheduled = False
 
     def offer(self, source: SetUpSource) -> None:
-        """Something may wait there.  It begins at once where nothing waits before it."""
+        """Register a source whose queue may have become non-empty; begin at once if no other source waits."""
         if not len(source.queue) or source in self._known:
             return
         self._known.add(source)
@@ -97,12 +100,12 @@
             self._run_turn()
 
     def cancel(self, session: str) -> None:
-        """Whatever ends a session may come on any connection."""
+        """Remove a session's set-ups from all queues; the cancellation may arrive on any connection."""
         for source in self._known:
             source.queue.cancel(session)
 
     def _run_turn(self) -> None:
-        self._scheduled = True  # what is offered meanwhile waits behind
+        self._scheduled = True  # sources offered during this turn are appended
         clock = self.deadlines.clock
         until_ms = clock.now() + MAX_TURN_MS
         while self._sources and clock.now() < until_ms:
--- a/cloverhinge/rtsp/media_servers.py
+++ b/cloverhinge/rtsp/media_servers.py
@@ -1,7 +1,8 @@
-"""All media servers: set-ups, releases and probes find the pool of their server, listed or on its way out.
+"""The media servers: routes set-ups, releases and probes to the connection pool of their server.
 
-A connection is opened when there is something to send, or when sessions stand whose release has to be heard:
-each handshake costs the server work and takes one of its few connections, times the number of routers.
+A connection is opened only when there is something to send, or when sessions are established whose release
+has to be received: each handshake costs the server work and takes one of its few connections, and every
+router opens its own.
 """
 
 from __future__ import annotations
@@ -25,13 +26,11 @@
 
 PROBE_TIMEOUT_MS = 300.0
 SWEEP_INTERVAL_MS = 400.0
-MAX_CONNECTIONS_PER_SERVER = (
-    8  # to one server; as many as there are set-ups under way to it on the busiest days
-)
+MAX_CONNECTIONS_PER_SERVER = 8  # as many as there are set-ups under way to one server on the busiest days
 
 
 class MediaServers:
-    """All media servers.  Implements the core's `Boxes` and `Prober` over RTSP."""
+    """All media servers.  Implements the core's `ServerPort` and `Prober` over RTSP."""
 
     log = Logger()
 
@@ -50,13 +49,14 @@
         self.pools: dict[int, ServerPool] = {}
         self.unlisted: list[ServerPool] = []
         self.probe_count = 0
-        self.process_count = (
-            1  # processes that share this router's place, and what a media server grants one router
-        )
+        self.process_count = 1  # processes that share one router's place and its allowance of connections
         router.prober = self
-        self.is_handed_over: Callable[[str], bool] = lambda name: False  # another router has it by now
+        self.is_handed_over: Callable[[str], bool] = (
+            lambda name: False
+        )  # whether another router owns the session by now
 
     def start(self) -> None:
+        """Start the periodic sweep."""
         self._sweep()
 
     def _sweep(self) -> None:
@@ -67,30 +67,34 @@
         self.deadlines.after(SWEEP_INTERVAL_MS, self._sweep)
 
     def update_list(self, addresses: dict[int, ServerAddress]) -> None:
-        """The boxes that are listed now, drained ones included."""
+        """Replace the list of media servers, by number, draining ones included.
+
+        The pool of a server that is no longer listed, or has changed its address, finishes what is under way.
+        """
         for number in [n for n, pool in self.pools.items() if addresses.get(n) != pool.address]:
             pool = self.pools.pop(number)
             self.unlisted.append(pool)
             pool.unlist()
-        for number, box in addresses.items():
+        for number, address in addresses.items():
             if number not in self.pools:
-                self.pools[number] = ServerPool(self, box, last_message_ms=self.clock.now())
+                self.pools[number] = ServerPool(self, address, last_message_ms=self.clock.now())
 
     def set_process_count(self, count: int) -> None:
-        """So many processes are one router to the servers; connections beyond the part stay open."""
+        """Set how many processes share the router's connections; those beyond this one's share stay open."""
         self.process_count = count
 
     def max_connections(self) -> int:
-        """To one media server; all together take a fifth of the descriptors at most."""
+        """The maximum for one media server; all servers together use a fifth of the descriptors at most."""
         return max(
             1,
             min(MAX_CONNECTIONS_PER_SERVER, self.sockets // 5 // max(1, len(self.pools)))
             // self.process_count,
         )
 
-    # Boxes
+    # ServerPort
 
     def set_up(self, attempt: Attempt) -> None:
+        """Send an attempt to its server, or end it if the server is not listed."""
         pool = self.pools.get(attempt.server)
         if pool is None:
             self.router.attempt_ended(attempt, Outcome.MOOT)
@@ -98,36 +102,43 @@
             pool.submit(attempt)
 
     def give_up(self, attempt: Attempt) -> None:
-        """Guards against looking at the successor alone: its server may have been listed anew since."""
-        name = attempt.request.set_up.session_id
-        for one in self._pools_of(attempt.server):
-            if attempt in one.waiting:
-                one.waiting.remove(attempt)
-            for connection in one.all_connections():
-                if connection.attempts.get(name) is attempt:
-                    del connection.attempts[name]
-                    connection.send(messages.encode_request("TEARDOWN", "rtsp://media/session", 2, name))
+        """Cancel an attempt that waits or is under way.
+
+        All pools of the server are searched, since it may have been listed again at another address.
+        """
+        session_id = attempt.request.set_up.session_id
+        for pool in self._pools_of(attempt.server):
+            if attempt in pool.waiting:
+                pool.waiting.remove(attempt)
+            for connection in pool.all_connections():
+                if connection.attempts.get(session_id) is attempt:
+                    del connection.attempts[session_id]
+                    connection.send(
+                        messages.encode_request("TEARDOWN", "rtsp://media/session", 2, session_id)
+                    )
                     if self.clock.now() >= attempt.until_ms:
-                        one.retire(connection)  # it left a set-up unanswered, so it is spent
+                        pool.retire(connection)  # it left a set-up unanswered until its time was over
 
     def _pools_of(self, server: int) -> list[ServerPool]:
-        """The listed one of this number, and those whose connections still drain."""
+        """The listed pool of this server, and the unlisted ones that are still open."""
         listed = self.pools.get(server)
-        drained = [one for one in self.unlisted if one.address.number == server]
-        return drained if listed is None else [listed, *drained]
+        unlisted = [pool for pool in self.unlisted if pool.address.number == server]
+        return unlisted if listed is None else [listed, *unlisted]
 
     def release(self, request: Request, cause: Cause) -> None:
+        """Tell the request's server to end its session."""
         pool = self.pools.get(request.server or 0)
         if pool is not None:
             pool.send_on_any(encode_release(request.set_up.session_id, cause))
 
     def release_leftover(self, server: int, session_id: str) -> None:
-        """What another router may have left there under this name."""
+        """End a session that another router may have left at a server."""
         pool = self.pools.get(server)
         if pool is not None:
             pool.send_on_any(encode_release(session_id, Cause.CANCELLED))
 
     def set_rung(self, request: Request, rung: int) -> None:
+        """Tell the request's server to switch its session to another rung."""
         pool = self.pools.get(request.server or 0)
         if pool is not None:
             pool.send_on_any(
@@ -143,6 +154,7 @@
     # Prober
 
     def probe(self, server: int) -> None:
+        """Send a probe and report its result to `Router.probed` after `PROBE_TIMEOUT_MS` at the latest."""
         pool = self.pools.get(server)
         if pool is None:
             self.router.probed(server, Outcome.CONNECT_FAILED, 0.0, None)
@@ -155,6 +167,7 @@
         pool.submit(probe)
 
     def probe_ended(self, probe: Probe, outcome: Outcome, report: api.LoadReport | None = None) -> None:
+        """Report the result of a probe; a connection on which it timed out is retired."""
         self.deadlines.cancel(probe.deadline)
         pool = probe.pool
         if probe in pool.waiting:
--- a/cloverhinge/rtsp/messages.py
+++ b/cloverhinge/rtsp/messages.py
@@ -1,4 +1,4 @@
-"""The platform's RTSP: messages, their bytes, and the protocol that reads them."""
+"""RTSP messages as the platform uses them: their encoding, and the protocol that parses them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class MalformedMessage(ValueError):
-    """What was read is not a message; `status` is the answer that it deserves."""
+    """Input that is not a valid message; `status` is the status code to answer it with."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -37,6 +37,8 @@
 
 @dataclass(slots=True)
 class Message:
+    """A request (`method` and `uri` are set) or a response (`status` is set)."""
+
     method: str = ""  # of a request
     uri: str = ""
     status: int = 0  # of a response
@@ -45,65 +47,81 @@
 
     @property
     def session_id(self) -> str:
+        """The value of the Session header, or "" without one."""
         return self.headers.get("session", "")
 
     def number(self, name: str, default: float | None = None) -> float:
-        """A field's figure, which has to be finite and not below 0."""
+        """Return the value of a header as a number in the range from 0 to below 1e15.
+
+        `name` is in lower case.  Raises MalformedMessage if the value is no such number, or if the header is
+        missing and there is no default.
+        """
         text = self.headers.get(name)
         if text is None:
             if default is None:
-                raise MalformedMessage(f"{name} is missing")
+                raise MalformedMessage(f"{name} header is missing")
             return default
         try:
             value = float(text)
         except ValueError:
-            raise MalformedMessage(f"{name} is no number") from None
+            raise MalformedMessage(f"{name} header is not a number") from None
         if not 0 <= value < 1e15:
-            raise MalformedMessage(f"{name} is out of range")
+            raise MalformedMessage(f"{name} header is out of range")
         return value
 
 
 def parse_start_line(line: bytes) -> Message:
+    """Parse a request line or a status line into a new message.
+
+    Raises MalformedMessage, or UnicodeDecodeError if the line is not UTF-8.
+    """
     words = line.decode("utf-8", "strict").split(" ", 2)
     if words[0] == VERSION:
         if len(words) < 2 or not re.fullmatch(r"[1-5][0-9][0-9]", words[1]):
-            raise MalformedMessage("no status")
+            raise MalformedMessage("invalid status line")
         return Message(status=int(words[1]))
     if len(words) != 3 or not METHOD.fullmatch(words[0]) or not words[1]:
-        raise MalformedMessage("no request line")
+        raise MalformedMessage("invalid request line")
     if words[2] != VERSION:
-        raise MalformedMessage("another version", 505)
+        raise MalformedMessage("unsupported RTSP version", 505)
     return Message(method=words[0], uri=words[1])
 
 
 def parse_header(message: Message, line: bytes) -> None:
+    """Parse a header line and add it to the message.
+
+    Raises MalformedMessage, or UnicodeDecodeError if the line is not UTF-8.
+    """
     name, colon, value = line.decode("utf-8", "strict").partition(":")
     if not colon or not HEADER_NAME.fullmatch(name):
-        raise MalformedMessage("no header field")
+        raise MalformedMessage("invalid header line")
     if len(message.headers) >= MAX_HEADERS:
-        raise MalformedMessage("too many header fields")
+        raise MalformedMessage("too many headers")
     key = name.lower()
     if key in message.headers:
-        raise MalformedMessage(f"{name} comes twice")
+        raise MalformedMessage(f"{name} header is duplicated")
     message.headers[key] = value.strip()
 
 
 def body_length(message: Message) -> int:
+    """Return the length of the body in bytes.  Raises MalformedMessage if Content-Length is invalid."""
     text = message.headers.get("content-length", "0")
     if not re.fullmatch(r"[0-9]{1,9}", text):
-        raise MalformedMessage("Content-Length is no number")
+        raise MalformedMessage("Content-Length is not a number")
     return int(text)
 
 
 def encode_request(
     method: str, uri: str, cseq: int, session: str, fields: dict[str, str] | None = None, body: bytes = b""
 ) -> bytes:
+    """Encode a request; `fields` are its further headers."""
     return _encode(f"{method} {uri} {VERSION}", str(cseq), session, fields, body)
 
 
 def encode_response(
     status: int, cseq: str, session: str, fields: dict[str, str] | None = None, body: bytes = b""
 ) -> bytes:
+    """Encode a response; `fields` are its further headers."""
     return _encode(f"{VERSION} {status} {REASON_PHRASES.get(status, 'Other')}", cseq, session, fields, body)
 
 
@@ -117,7 +135,7 @@
 
 
 def parse_pairs(text: str) -> dict[str, str]:
-    """Fields of the form `a:1;b:2`."""
+    """Parse a header value of the form `a:1;b:2`; items without a colon are ignored."""
     found = {}
     for part in text.split(";"):
         name, colon, value = part.partition(":")
@@ -127,7 +145,10 @@
 
 
 class RtspProtocol(BufferedReceiver):
-    """Hands whole messages to `received`; input that is none gets an error and a close."""
+    """Reads messages and passes each complete one to `received`.
+
+    Invalid input is answered with an error status, and the connection is closed.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -136,12 +157,12 @@
 
     @property
     def mid_message(self) -> bool:
-        """A part of a message has been read."""
+        """Whether part of a message has been read."""
         return self.message is not None or bool(self.buffer)
 
     def lineReceived(self, line: bytes) -> None:
         if self.message is None and not line:
-            return  # RFC 2326 lets empty lines stand before a message
+            return  # RFC 2326 allows empty lines before a message
         try:
             self.message_bytes += len(line) + 2
             if self.message_bytes > MAX_MESSAGE_BYTES:
@@ -182,7 +203,10 @@
         self.malformed(MalformedMessage("too long", 413))
 
     def malformed(self, error: MalformedMessage, message: Message | None = None) -> None:
-        """Answer as well as can be; without a whole message there is no telling where the next one begins."""
+        """Answer with the error's status, unless the input is a response.
+
+        Without a complete message the start of the next one is unknown, so the connection is closed.
+        """
         seen = message or self.message
         if seen is None or not seen.status:
             headers = seen.headers if seen else {}
@@ -191,4 +215,5 @@
             self.close()
 
     def received(self, message: Message) -> None:
+        """Process a complete message; MalformedMessage makes it answered with an error."""
         raise NotImplementedError
--- a/cloverhinge/rtsp/server_connection.py
+++ b/cloverhinge/rtsp/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a media server, and what is out on it."""
+"""One connection to a media server, and the set-ups and probes under way on it."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 if TYPE_CHECKING:
     from cloverhinge.rtsp.server_pool import ServerPool
 
-PARTIAL_MESSAGE_TIMEOUT_MS = 400.0  # a message that is not whole so long after its first part never will be
+PARTIAL_MESSAGE_TIMEOUT_MS = 400.0  # a message that is incomplete for this long ends the connection
 
 
 @dataclass(slots=True, eq=False)
 class Probe:
-    """A test of a server that is out.  Its server may have left the list since, or have moved."""
+    """A probe under way.  Its server may have left the list since, or have changed its address."""
 
     pool: ServerPool
     probe_id: str
@@ -31,18 +31,16 @@
 
 
 class ServerConnection(messages.RtspProtocol):
-    """One connection to a media server."""
+    """A connection to a media server; passes its messages to the pool."""
 
     def __init__(self, pool: ServerPool) -> None:
         super().__init__()
         self.pool = pool
-        self.opened_ms = self.last_set_up_ms = self.last_traffic_ms = (
-            0.0  # opened, last set-up, last message either way
-        )
-        self.half_closed_ms: float | None = None  # half-closed since
+        self.opened_ms = self.last_set_up_ms = self.last_traffic_ms = 0.0  # the last: in either direction
+        self.half_closed_ms: float | None = None  # when it was half-closed
         self.attempts: dict[str, Attempt] = {}
         self.probes: dict[str, Probe] = {}
-        self.complete_messages: list[messages.Message] = []  # read, and not handed on yet
+        self.complete_messages: list[messages.Message] = []  # not passed to the pool yet
         self.partial_deadline: DeadlineKey | None = None
 
     def connectionMade(self) -> None:
@@ -50,8 +48,12 @@
         self.pool.connection_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Guards against an answer whose length is wrong: what has been read is handed on once what follows
-        it is seen to be none of its leavings, and a message that stays unfinished ends the connection."""
+        """Pass on complete messages only when no incomplete input follows them.
+
+        An answer with a wrong length leaves a remainder that looks like the start of a message.  A message
+        that stays incomplete for `PARTIAL_MESSAGE_TIMEOUT_MS` ends the connection, and messages that were
+        held back are discarded with it.
+        """
         deadlines, known = self.pool.servers.deadlines, len(self.complete_messages)
         super().dataReceived(data)
         if not self.mid_message or self.gone or len(self.complete_messages) > known:
@@ -72,7 +74,10 @@
                 self.malformed(error, message)
 
     def _partial_timed_out(self) -> None:
-        """Guards against an answer thrown away after a pause of this process: its rest may lie unread."""
+        """Drop the connection, or wait if unread data may complete the message.
+
+        Data is unread when this process was paused.
+        """
         self.partial_deadline = None
         if self.unread:
             self.partial_deadline = self.pool.servers.deadlines.after(
@@ -93,7 +98,7 @@
             super().malformed(error, message)
             return
         self.pool.servers.log.info(
-            "media server {name}: unreadable: {error}", name=self.pool.address.name, error=str(error)
+            "media server {name}: malformed message: {error}", name=self.pool.address.name, error=str(error)
         )
         self.drop()
 
--- a/cloverhinge/rtsp/server_messages.py
+++ b/cloverhinge/rtsp/server_messages.py
@@ -1,4 +1,4 @@
-"""What a media server says beside its answers: reports of its load, and notes on sessions that stand."""
+"""Messages of media servers: load reports, and events of established sessions; the release sent to them."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 def parse_load_report(message: messages.Message) -> api.LoadReport | None:
-    told = messages.parse_pairs(message.headers.get("x-circuits", ""))
+    """Read the load report in a message; values that are not numbers are ignored.  None if there is none."""
+    fields = messages.parse_pairs(message.headers.get("x-circuits", ""))
     figures: dict[str, float] = {}
-    for name, value in told.items():
+    for name, value in fields.items():
         try:
             figures[name] = float(value)
         except ValueError:
@@ -21,6 +22,10 @@
 
 
 def parse_session_event(message: messages.Message, request: Request, server: int) -> api.Event | None:
+    """Read a media server's note on a session; None if it is of an unknown kind.
+
+    Raises MalformedMessage if its value is missing or no number.
+    """
     value = message.number("x-reading")
     match message.headers.get("x-why"):
         case "delivered":
@@ -35,6 +40,7 @@
 
 
 def encode_release(name: str, cause: Cause) -> bytes:
+    """Encode the request that ends a session at its media server."""
     return messages.encode_request(
         "TEARDOWN", "rtsp://media/session", 2, name, {"Reason": f"cause={cause.value}"}
     )
--- a/cloverhinge/rtsp/server_pool.py
+++ b/cloverhinge/rtsp/server_pool.py
@@ -1,7 +1,7 @@
-"""The connections to one media server: opened when there is something to send, retired, given up.
+"""The pool of connections to one media server: opened when there is something to send, and retired.
 
-A set-up has its connection for itself as long as there are enough, so that an answer which is spoilt, late or
-never comes costs no other set-up.  After anything unreadable nothing on that connection is trusted.
+Each set-up gets a connection of its own as long as there are enough, so that an answer that is corrupt, late
+or missing affects no other set-up.  After malformed input a connection is not used any more.
 """
 
 from __future__ import annotations
@@ -24,25 +24,21 @@
 if TYPE_CHECKING:
     from cloverhinge.rtsp.media_servers import MediaServers
 
-SILENCE_CHECK_MS = (
-    5500.0  # a media server with sessions that said nothing for so long has to take a new connection
-)
-SILENCE_LOST_MS = 7000.0  # one that took none for so long has lost its sessions; the rule allows 8 s
-MIN_CONNECTION_LIFE_MS = 1000.0  # a connection that lasted so long is opened anew at once
-REFUSED_LOST_MS = 2500.0  # a media server that refuses connections for so long holds no session any more
-RETRY_BACKOFF_MS = (200.0, 2000.0)  # pause before a failed connection is tried again
-IDLE_TIMEOUT_SHARE = (
-    0.6  # of the time after which idle connections are closed, one without traffic is given up
-)
-HALF_CLOSED_TIMEOUT_MS = 1500.0  # a replaced connection is read for so long after its end was announced
-SPARE_TIMEOUT_MS = 5000.0  # a connection beyond the first that carried no set-up for so long is closed
-MAX_UNSENT = 256  # releases kept for a media server that can't be reached
+SILENCE_CHECK_MS = 5500.0  # a server with sessions that is silent this long must accept a new connection
+SILENCE_LOST_MS = 7000.0  # after this much silence its sessions count as lost; the rules allow 8 s
+MIN_CONNECTION_LIFE_MS = 1000.0  # a connection that lasted this long is reopened without a delay
+REFUSED_LOST_MS = 2500.0  # sessions of a server that refuses connections this long count as lost
+RETRY_BACKOFF_MS = (200.0, 2000.0)  # first and longest delay before a failed connection is retried
+IDLE_TIMEOUT_SHARE = 0.6  # of the idle time limit: a connection without traffic for this long is retired
+HALF_CLOSED_TIMEOUT_MS = 1500.0  # how long a retired connection is read after it was half-closed
+SPARE_TIMEOUT_MS = 5000.0  # a connection beyond the first is closed after this long without a set-up
+MAX_UNSENT = 256  # messages kept for an unreachable server; beyond it the oldest is discarded
 OUTCOME_BY_STATUS = {453: Outcome.FULL, 454: Outcome.MOOT, 504: Outcome.RESET}
 OUTCOME_BY_CAUSE = {"16": Outcome.SERVED, "31": Outcome.CANCELLED, "41": Outcome.RESET}
 
 
 class _ConnectAttempt(ClientFactory):
-    """One try to open a connection, with its own time-out."""
+    """One attempt to open a connection, with a timeout."""
 
     noisy = False
 
@@ -65,52 +61,56 @@
 
 @dataclass(eq=False)
 class ServerPool:
-    """The connections to a listed media server.  Keyed by its id: another one may have its address later."""
+    """The connections to one media server.
+
+    A server is identified by its id, since another one may get its address later.
+    """
 
     servers: MediaServers
     address: ServerAddress
-    connections: list[ServerConnection] = field(default_factory=list)  # for set-ups, the oldest first
+    connections: list[ServerConnection] = field(default_factory=list)  # for set-ups, oldest first
     retiring: list[ServerConnection] = field(default_factory=list)
-    opening: int = 0  # connections on their way
-    replacing: bool = False  # the next one to come up takes the place of all
-    checking: bool = False  # the next one to come up only shows that the media server lives
+    opening: int = 0  # attempts to connect under way
+    replacing: bool = False  # the next connection to open replaces all others
+    checking: bool = False  # the next connection only shows that the server is alive
     waiting: list[Attempt | Probe] = field(default_factory=list)
     unsent: deque[bytes] = field(default_factory=lambda: deque(maxlen=MAX_UNSENT))
     last_message_ms: float = 0.0
     retry_at_ms: float = 0.0
     backoff_ms: float = RETRY_BACKOFF_MS[0]
     listed: bool = True
-    was_reset: bool = False  # a connection to it was, since one last came up
-    refused_since_ms: float | None = None  # it takes no connection since
+    was_reset: bool = False  # whether a connection was reset since one last opened
+    refused_since_ms: float | None = None  # since when it has refused all connections
 
     def open(self) -> None:
+        """Begin an attempt to open a connection."""
         self.opening += 1
         _ConnectAttempt(self)
 
     @property
     def needs_connection(self) -> bool:
-        """None is open, and something waits for one, or sessions stand whose releases come on it."""
+        """Whether none is open though something waits for it, or sessions exist whose releases use it."""
         wanted = self.waiting or self.unsent or self.servers.router.established.get(self.address.number)
         return self.listed and not self.connections and not self.opening and bool(wanted)
 
     def replace(self) -> None:
+        """Retire all connections once a new one is open."""
         self.replacing = True
         if not self.opening:
             self.open()
 
     def connection_opened(self, connection: ServerConnection) -> None:
+        """Add a new connection to the pool and send what waits."""
         self.opening, self.backoff_ms = self.opening - 1, RETRY_BACKOFF_MS[0]
         self.was_reset, self.refused_since_ms = False, None
         connection.opened_ms = connection.last_set_up_ms = connection.last_traffic_ms = (
             self.last_message_ms
         ) = self.servers.clock.now()
-        if not self.listed:  # opened for what is still to be told, if anything is
+        if not self.listed:  # opened to send what is left
             self.retiring.append(connection)
             self._send_unsent(connection)
             return
-        if (
-            self.checking and self.connections
-        ):  # the media server lives; what it says here is read, its old connections go on
+        if self.checking and self.connections:  # the server is alive: read this one, keep the others
             self.retiring.append(connection)
         else:
             for old in list(self.connections) if self.replacing else ():
@@ -126,16 +126,17 @@
             connection.send(self.unsent.popleft())
 
     def retire(self, connection: ServerConnection) -> None:
-        """It takes no set-up any more; it is half-closed once none is open on it, and read until the server
-        closes.
+        """Send no more set-ups on a connection.
 
-        Guards against losing a release that is on its way while the connection is closed.
+        It is half-closed once nothing is under way on it, and then read until the server closes it, so that a
+        release that is in flight is not lost.
         """
         if connection in self.connections:
             self.connections.remove(connection)
             self.retiring.append(connection)
 
     def connect_failed(self, refused: bool) -> None:
+        """End what waits if no connection is open; sessions of a server that keeps refusing are lost."""
         self.opening -= 1
         now = self.servers.clock.now()
         self.retry_at_ms, self.backoff_ms = (
@@ -143,7 +144,7 @@
             min(self.backoff_ms * 2, RETRY_BACKOFF_MS[1]),
         )
         if not self.listed:
-            self.unsent.clear()  # one try: it is on its way out
+            self.unsent.clear()  # an unlisted server gets a single attempt
             return
         if self.connections:
             self.flush()
@@ -158,17 +159,18 @@
             return
         self.refused_since_ms = self.refused_since_ms or now
         standing = len(self.servers.router.established.get(self.address.number, ()))
-        # Guards against cutting what plays at a server that takes no more connections: only where one to it
-        # was reset before does a refusal show at once that no process is there.
+        # A server at its limit of connections refuses new ones while its sessions play on.  A refusal shows
+        # at once that its process is gone only if a connection was reset before.
         if standing and (self.was_reset or now - self.refused_since_ms >= REFUSED_LOST_MS):
             self.servers.log.warn(
-                "media server {name}: refuses connections, its {standing} sessions are taken as lost",
+                "media server {name}: refuses connections; its {standing} sessions are considered lost",
                 name=self.address.name,
                 standing=standing,
             )
             self.servers.router.cut_all(self.address.number)
 
     def connection_closed(self, connection: ServerConnection) -> None:
+        """Remove a connection and end the attempts and probes that were under way on it."""
         for connections in (self.connections, self.retiring):
             if connection in connections:
                 connections.remove(connection)
@@ -176,44 +178,46 @@
         connection.attempts.clear()
         connection.probes.clear()
         now = self.servers.clock.now()
-        if (
-            now - connection.opened_ms < MIN_CONNECTION_LIFE_MS
-        ):  # guards against a media server that closes each connection at once
+        if now - connection.opened_ms < MIN_CONNECTION_LIFE_MS:  # a server may close each connection at once
             self.retry_at_ms = now + RETRY_BACKOFF_MS[0]
         elif self.needs_connection:
             self.open()
         for attempt in attempts:
-            # It may have run, and may stand there for nobody.
+            # The server may have run it and hold a session that nobody owns.
             self.send_on_any(encode_release(attempt.request.set_up.session_id, Cause.CANCELLED))
             self.servers.router.attempt_ended(attempt, Outcome.RESET)
         for probe in probes:
             self.servers.probe_ended(probe, Outcome.RESET)
 
     def write(self, connection: ServerConnection, one: Attempt | Probe) -> None:
+        """Send a set-up or a probe on a connection; a set-up only if the router still allows it."""
         if isinstance(one, Probe):
             connection.probes[one.probe_id] = one
             connection.send(messages.encode_request("OPTIONS", "rtsp://media/load", 3, one.probe_id))
             return
         if not self.servers.router.may_write(one):
             return
-        ask = one.request.set_up
-        connection.attempts[ask.session_id], connection.last_set_up_ms = one, self.servers.clock.now()
+        set_up = one.request.set_up
+        connection.attempts[set_up.session_id], connection.last_set_up_ms = one, self.servers.clock.now()
         fields = {
-            "X-Call-Class": ask.class_name,
+            "X-Call-Class": set_up.class_name,
             "X-Ring-Limit": str(max(1, round(one.until_ms - self.servers.clock.now()))),
         }
         if one.request.rung is not None:
             fields["X-Quality"] = str(one.request.rung)
         connection.send(
-            messages.encode_request("SETUP", f"rtsp://media/{ask.title}", 1, ask.session_id, fields, ask.body)
+            messages.encode_request(
+                "SETUP", f"rtsp://media/{set_up.title}", 1, set_up.session_id, fields, set_up.body
+            )
         )
 
     def submit(self, one: Attempt | Probe) -> None:
+        """Send a set-up or a probe as soon as there is a connection for it."""
         self.waiting.append(one)
         self.flush()
 
     def flush(self) -> None:
-        """Write what waits: each set-up on a connection for itself, shared where no more may be opened."""
+        """Send what waits, each on a connection of its own; they are shared once the limit is reached."""
         while self.waiting:
             connection = next((x for x in self.connections if not x.attempts and not x.mid_message), None)
             if connection is None and len(self.connections) + self.opening < self.servers.max_connections():
@@ -227,9 +231,10 @@
             self.write(connection, self.waiting.pop(0))
 
     def send_on_any(self, data: bytes) -> None:
-        """Something on a session that stands, on any connection; kept for the next one where there is none.
+        """Send a message about a session on any connection, or keep it for the next one.
 
-        Guards against sessions that stand for nobody at a server that has left the list and drains.
+        This includes the connections of a server that has left the list and drains, since otherwise it would
+        keep sessions that nobody owns.
         """
         writable = self.connections or [x for x in self.retiring if x.half_closed_ms is None and not x.gone]
         if writable:
@@ -240,9 +245,11 @@
             self.open()
 
     def all_connections(self) -> list[ServerConnection]:
+        """The retiring connections, then those in use."""
         return self.retiring + self.connections
 
     def handle_message(self, connection: ServerConnection, message: messages.Message) -> None:
+        """Process a message of the server.  Raises MalformedMessage if one of its values is invalid."""
         self.last_message_ms = connection.last_traffic_ms = self.servers.clock.now()
         if message.status:
             self.handle_response(connection, message)
@@ -251,8 +258,9 @@
         self.flush()
 
     def handle_response(self, connection: ServerConnection, message: messages.Message) -> None:
-        name, router = message.session_id, self.servers.router
-        if (probe := connection.probes.get(name)) is not None:
+        """Process the answer to a probe or a set-up; other answers need no action."""
+        session_id, router = message.session_id, self.servers.router
+        if (probe := connection.probes.get(session_id)) is not None:
             passed = message.status == 200
             if message.status >= 200:
                 self.servers.probe_ended(
@@ -260,28 +268,29 @@
                 )
             return
         if message.status < 200 or message.headers.get("cseq") != "1":
-            return  # progress, or that a release was heard
-        attempt = connection.attempts.pop(name, None)
+            return  # a provisional answer, or one to another request than a set-up
+        attempt = connection.attempts.pop(session_id, None)
         if message.status != 200:
             if attempt is not None:
                 outcome = OUTCOME_BY_STATUS.get(message.status, Outcome.ERROR)
                 router.attempt_ended(attempt, outcome, parse_load_report(message))
         elif attempt is None or not router.answered(attempt, message.body):
-            # Guards against a session that stands for nobody: its set-up was given up while this was coming.
-            standing = router.by_session_id.get(name)
-            if (
-                standing is None or standing.server != self.address.number
-            ) and not self.servers.is_handed_over(name):
-                self.send_on_any(encode_release(name, Cause.CANCELLED))
+            # The set-up was given up while its answer was in flight: release the session, which nobody owns.
+            request = router.by_session_id.get(session_id)
+            if (request is None or request.server != self.address.number) and not self.servers.is_handed_over(
+                session_id
+            ):
+                self.send_on_any(encode_release(session_id, Cause.CANCELLED))
 
     def handle_request(self, connection: ServerConnection, message: messages.Message) -> None:
-        name, router = message.session_id, self.servers.router
-        request = router.by_session_id.get(name)
+        """Process a release, an event of a session, or a ping of the server."""
+        session_id, router = message.session_id, self.servers.router
+        request = router.by_session_id.get(session_id)
         if message.method == "TEARDOWN":
-            connection.send(messages.encode_response(200, message.headers.get("cseq", "2"), name))
+            connection.send(messages.encode_response(200, message.headers.get("cseq", "2"), session_id))
             cause = message.headers.get("reason", "").partition("cause=")[2].strip()
             outcome = OUTCOME_BY_CAUSE.get(cause, Outcome.RESET)
-            attempt = connection.attempts.pop(name, None)
+            attempt = connection.attempts.pop(session_id, None)
             if attempt is not None:
                 router.attempt_ended(attempt, Outcome.RESET, parse_load_report(message))
             elif request is not None and request.server == self.address.number:
@@ -296,9 +305,10 @@
                 if event is not None:
                     router.session_event(request, event)
         elif message.method == "OPTIONS":
-            connection.send(messages.encode_response(200, message.headers.get("cseq", "3"), name))
+            connection.send(messages.encode_response(200, message.headers.get("cseq", "3"), session_id))
 
     def sweep(self, now: float) -> None:
+        """Close idle connections, open missing ones, and detect a server that has become silent."""
         for connection in list(self.retiring):
             if connection.half_closed_ms is not None:
                 if now - connection.half_closed_ms > HALF_CLOSED_TIMEOUT_MS:
@@ -315,7 +325,7 @@
         if self.needs_connection and now >= self.retry_at_ms:
             self.open()
         if not self.servers.router.established.get(self.address.number):
-            self.last_message_ms = now  # there is nothing to hear of
+            self.last_message_ms = now  # nothing is expected from it
             for connection in [
                 x
                 for x in self.connections
@@ -330,9 +340,9 @@
             self.replace()
         if now - self.last_message_ms > SILENCE_LOST_MS:
             if any(connection.unread for connection in self.all_connections()):
-                return  # this process stood still: what has come meanwhile is read first
+                return  # this process was paused: read first what has arrived meanwhile
             self.servers.log.warn(
-                "media server {name}: silent, its sessions are taken as lost", name=self.address.name
+                "media server {name}: silent; its sessions are considered lost", name=self.address.name
             )
             for connection in self.all_connections():
                 connection.drop()
@@ -342,6 +352,7 @@
             self.open()
 
     def unlist(self) -> None:
+        """End what waits and retire all connections, as the server has left the list."""
         self.listed = False
         waiting, self.waiting = self.waiting, []
         for one in waiting:
