--- a/cloverhinge/rtsp/client.py
+++ b/cloverhinge/rtsp/client.py
@@ -64,7 +64,7 @@
         """Answer that the request was refused, with the time after which to retry and the reservation token.
 
         The admission queue's estimate may exceed the maximum of the settings, which is then sent instead; a
-        client that comes back too early for its estimate is told a further time.
+        client that comes back before its estimate gets a new time.
         """
         sent_ms = min(hold_off_ms, self.front.router.settings.max_retry_after_us / 1000.0)
         fields = {"X-Hold-Off": str(round(sent_ms))} if sent_ms > 0 else {}
--- a/cloverhinge/rtsp/client_connection.py
+++ b/cloverhinge/rtsp/client_connection.py
@@ -61,7 +61,7 @@
             self.paused = paused
             (transport.stopReading if paused else transport.startReading)()
 
-    def begin(self, one: ReceivedSetUp) -> None:
+    def begin(self, set_up: ReceivedSetUp) -> None:
         """Pass a set-up to the core, or answer it if it is invalid.
 
         All input received together with it has been processed, so it was not cancelled there.
@@ -70,9 +70,9 @@
             self.queue.clear()
             return
         try:
-            self.front.set_up(self, one)
+            self.front.set_up(self, set_up)
         except messages.MalformedMessage as error:
-            self.malformed(error, one.message)
+            self.malformed(error, set_up.message)
         self.front.update_rank(self)
         if not self.queue.full and not self.gone:
             self._set_paused(False)
--- a/cloverhinge/rtsp/intake.py
+++ b/cloverhinge/rtsp/intake.py
@@ -42,29 +42,29 @@
         """Whether the limit on the number or on the total size is reached."""
         return len(self._waiting) >= MAX_QUEUED_SET_UPS or self._bytes >= MAX_QUEUED_BYTES
 
-    def add(self, one: ReceivedSetUp) -> None:
+    def add(self, set_up: ReceivedSetUp) -> None:
         """Append a set-up; the caller checks `full`."""
-        self._waiting.append(one)
-        self._bytes += len(one.message.body)
+        self._waiting.append(set_up)
+        self._bytes += len(set_up.message.body)
 
     def next(self) -> ReceivedSetUp:
         """Remove and return the first set-up.  Raises IndexError if there is none."""
-        one = self._waiting.popleft()
-        self._bytes -= len(one.message.body)
-        return one
+        set_up = self._waiting.popleft()
+        self._bytes -= len(set_up.message.body)
+        return set_up
 
     def contains(self, session: str) -> bool:
         """Whether a set-up of this session waits."""
-        return any(one.message.session_id == session for one in self._waiting)
+        return any(x.message.session_id == session for x in self._waiting)
 
     def cancel(self, session: str) -> None:
         """Remove the set-ups of a session that its client has cancelled."""
         if not self.contains(session):
             return
-        left = [one for one in self._waiting if one.message.session_id != session]
+        left = [x for x in self._waiting if x.message.session_id != session]
         self.clear()
-        for one in left:
-            self.add(one)
+        for set_up in left:
+            self.add(set_up)
 
     def clear(self) -> None:
         """Remove all set-ups."""
@@ -77,7 +77,7 @@
 
     queue: SetUpQueue
 
-    def begin(self, one: ReceivedSetUp) -> None:
+    def begin(self, set_up: ReceivedSetUp) -> None:
         """Pass the set-up to the core, or answer it."""
 
 
--- a/cloverhinge/rtsp/server_pool.py
+++ b/cloverhinge/rtsp/server_pool.py
@@ -150,22 +150,22 @@
             self.flush()
             return
         waiting, self.waiting = self.waiting, []
-        for one in waiting:
-            if isinstance(one, Attempt):
-                self.servers.router.attempt_ended(one, Outcome.CONNECT_FAILED)
+        for item in waiting:
+            if isinstance(item, Attempt):
+                self.servers.router.attempt_ended(item, Outcome.CONNECT_FAILED)
             else:
-                self.servers.probe_ended(one, Outcome.CONNECT_FAILED)
+                self.servers.probe_ended(item, Outcome.CONNECT_FAILED)
         if not refused:
             return
         self.refused_since_ms = self.refused_since_ms or now
-        standing = len(self.servers.router.established.get(self.address.number, ()))
+        session_count = len(self.servers.router.established.get(self.address.number, ()))
         # A server at its limit of connections refuses new ones while its sessions play on.  A refusal shows
         # at once that its process is gone only if a connection was reset before.
-        if standing and (self.was_reset or now - self.refused_since_ms >= REFUSED_LOST_MS):
+        if session_count and (self.was_reset or now - self.refused_since_ms >= REFUSED_LOST_MS):
             self.servers.log.warn(
-                "media server {name}: refuses connections; its {standing} sessions are considered lost",
+                "media server {name}: refuses connections; its {count} sessions are considered lost",
                 name=self.address.name,
-                standing=standing,
+                count=session_count,
             )
             self.servers.router.cut_all(self.address.number)
 
@@ -189,31 +189,31 @@
         for probe in probes:
             self.servers.probe_ended(probe, Outcome.RESET)
 
-    def write(self, connection: ServerConnection, one: Attempt | Probe) -> None:
+    def write(self, connection: ServerConnection, item: Attempt | Probe) -> None:
         """Send a set-up or a probe on a connection; a set-up only if the router still allows it."""
-        if isinstance(one, Probe):
-            connection.probes[one.probe_id] = one
-            connection.send(messages.encode_request("OPTIONS", "rtsp://media/load", 3, one.probe_id))
+        if isinstance(item, Probe):
+            connection.probes[item.probe_id] = item
+            connection.send(messages.encode_request("OPTIONS", "rtsp://media/load", 3, item.probe_id))
             return
-        if not self.servers.router.may_write(one):
+        if not self.servers.router.may_write(item):
             return
-        set_up = one.request.set_up
-        connection.attempts[set_up.session_id], connection.last_set_up_ms = one, self.servers.clock.now()
+        set_up = item.request.set_up
+        connection.attempts[set_up.session_id], connection.last_set_up_ms = item, self.servers.clock.now()
         fields = {
             "X-Call-Class": set_up.class_name,
-            "X-Ring-Limit": str(max(1, round(one.until_ms - self.servers.clock.now()))),
+            "X-Ring-Limit": str(max(1, round(item.until_ms - self.servers.clock.now()))),
         }
-        if one.request.rung is not None:
-            fields["X-Quality"] = str(one.request.rung)
+        if item.request.rung is not None:
+            fields["X-Quality"] = str(item.request.rung)
         connection.send(
             messages.encode_request(
                 "SETUP", f"rtsp://media/{set_up.title}", 1, set_up.session_id, fields, set_up.body
             )
         )
 
-    def submit(self, one: Attempt | Probe) -> None:
+    def submit(self, item: Attempt | Probe) -> None:
         """Send a set-up or a probe as soon as there is a connection for it."""
-        self.waiting.append(one)
+        self.waiting.append(item)
         self.flush()
 
     def flush(self) -> None:
@@ -355,10 +355,10 @@
         """End what waits and retire all connections, as the server has left the list."""
         self.listed = False
         waiting, self.waiting = self.waiting, []
-        for one in waiting:
-            if isinstance(one, Attempt):
-                self.servers.router.attempt_ended(one, Outcome.MOOT)
+        for item in waiting:
+            if isinstance(item, Attempt):
+                self.servers.router.attempt_ended(item, Outcome.MOOT)
             else:
-                self.servers.probe_ended(one, Outcome.CONNECT_FAILED)
+                self.servers.probe_ended(item, Outcome.CONNECT_FAILED)
         for connection in list(self.connections):
             self.retire(connection)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -54,7 +54,7 @@
         for number in range(count):
             self.queue.add(message(number))
 
-    def begin(self, one: ReceivedSetUp) -> None:
+    def begin(self, set_up: ReceivedSetUp) -> None:
         self.begun.append(self.name)
         self.clock.advance(self.cost_ms)
 
