--- a/cloverhinge/discovery/watch.py
+++ b/cloverhinge/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch on the list of media servers: follows discovery for good, over breaks, silence and moves."""
+"""Follows the discovery service's change log, across lost connections, silence and changes of its address."""
 
 from __future__ import annotations
 
@@ -13,57 +13,63 @@
 
 from cloverhinge.core.deadlines import DeadlineKey, Deadlines
 from cloverhinge.discovery.updates import ListUpdate, parse_update
-from cloverhinge.net.buffered import UNREAD_MS, BufferedReceiver
-
-# What a silent log would have told counts as told after 4 s.  A heartbeat comes each second, so silence is
-# known 1.6 s after it began; a new connection that is silent too is given up 1.2 s later, and the one after
-# that has told its events by 3.0 s.  A second silent one would take until 4.3 s: that is not kept.
-SILENT_MS = 1600.0
-FIRST_LINE_MS = 1200.0
-CONNECT_MS = 700.0
+from cloverhinge.net.buffered import UNREAD_GRACE_MS, BufferedReceiver
+
+# Events that a silent log withholds count as received 4 s after the silence began.  Heartbeats arrive every
+# second, so silence is detected after 1.6 s.  If the next connection is silent as well, it is given up 1.2 s
+# later, and the one after that has delivered its events by 3.0 s.  With a second silent reconnection it would
+# take until 4.3 s, which misses the limit.
+SILENCE_TIMEOUT_MS = 1600.0
+FIRST_LINE_TIMEOUT_MS = 1200.0
+CONNECT_TIMEOUT_MS = 700.0
 BACKOFF_MS = (50.0, 1000.0)
-LINE_MAX = 1 << 20
+MAX_LINE_BYTES = 1 << 20
 
 
 class WatchConnection(BufferedReceiver):
-    MAX_LENGTH = LINE_MAX
+    """A connection to the change log, which sends one JSON value per line."""
+
+    MAX_LENGTH = MAX_LINE_BYTES
     delimiter = b"\n"
 
-    def __init__(self, follower: DiscoveryWatch) -> None:
+    def __init__(self, watch: DiscoveryWatch) -> None:
         super().__init__()
-        self.follower = follower
+        self.watch = watch
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.follower.connected(self)
+        self.watch.connected(self)
 
     def lineReceived(self, line: bytes) -> None:
         if line.strip():
-            self.follower.heard(self, line)
+            self.watch.line_received(self, line)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.gone = True
-        self.follower.lost(self)
+        self.watch.connection_lost(self)
 
 
-class _Try(ClientFactory):
-    """One try to connect.  What comes of it later than the next try is not listened to."""
+class _ConnectAttempt(ClientFactory):
+    """One attempt to connect.  Its result is ignored once a later attempt has begun."""
 
     noisy = False
 
-    def __init__(self, follower: DiscoveryWatch) -> None:
-        self.follower = follower
+    def __init__(self, watch: DiscoveryWatch) -> None:
+        self.watch = watch
 
     def buildProtocol(self, addr: Any) -> WatchConnection | None:
-        return WatchConnection(self.follower) if self.follower.current is self else None
+        return WatchConnection(self.watch) if self.watch.current_attempt is self else None
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        if self.follower.current is self:
-            self.follower.failed()
+        if self.watch.current_attempt is self:
+            self.watch.connect_failed()
 
 
 class DiscoveryWatch:
-    """Follows the change log for good: resumes after the last event it has, takes silence for a break."""
+    """Follows the change log until the process ends.
+
+    Each connection resumes after the last event received.  A silent connection is treated as broken.
+    """
 
     log = Logger()
 
@@ -73,50 +79,51 @@
         address: tuple[str, int],
         seq: int,
         deadlines: Deadlines,
-        tell: Callable[[ListUpdate], None],
+        on_update: Callable[[ListUpdate], None],
         rng: random.Random,
     ) -> None:
         self.reactor, self.address, self.seq = reactor, address, seq
-        self.deadlines, self.tell, self.rng = deadlines, tell, rng
+        self.deadlines, self.on_update, self.rng = deadlines, on_update, rng
         self.connection: WatchConnection | None = None
-        self.current: _Try | None = None
+        self.current_attempt: _ConnectAttempt | None = None
         self.connector: Any = None
-        self.asked_again: tuple[int, int] | None = None  # a gap that the log has been asked to fill: its ends
-        self.watch: DeadlineKey | None = None
-        self.pause: DeadlineKey | None = None  # before the next try
+        self.refetched_gap: tuple[int, int] | None = None  # ends of the gap that was last requested again
+        self.silence_deadline: DeadlineKey | None = None
+        self.retry_deadline: DeadlineKey | None = None
         self.backoff_ms = BACKOFF_MS[0]
         self.stopped = False
-        self.waiting: tuple[DeadlineKey, Callable[[], None]] | None = None  # for the last event
+        self.caught_up_callback: tuple[DeadlineKey, Callable[[], None]] | None = None
 
-    def when_caught_up(self, call: Callable[[], None], most_ms: float) -> None:
-        """Once a heartbeat has shown that nothing later is known, or after that time without one."""
-        self.waiting = self.deadlines.after(most_ms, self._caught_up), call
+    def when_caught_up(self, call: Callable[[], None], timeout_ms: float) -> None:
+        """Call `call` once a heartbeat shows that no event is missing, or after `timeout_ms` without one."""
+        self.caught_up_callback = self.deadlines.after(timeout_ms, self._caught_up), call
 
     def _caught_up(self) -> None:
-        if self.waiting is not None:
-            (key, call), self.waiting = self.waiting, None
+        if self.caught_up_callback is not None:
+            (key, call), self.caught_up_callback = self.caught_up_callback, None
             self.deadlines.cancel(key)
             call()
 
     def start(self) -> None:
-        self.pause = None
+        """Begin an attempt to connect, unless the watch is stopped."""
+        self.retry_deadline = None
         if self.stopped:
             return
-        self.watch = self.deadlines.after(CONNECT_MS, self.silent)
-        self.current = _Try(self)
-        self.connector = self.reactor.connectTCP(*self.address, self.current, timeout=30)
+        self.silence_deadline = self.deadlines.after(CONNECT_TIMEOUT_MS, self.silence_timed_out)
+        self.current_attempt = _ConnectAttempt(self)
+        self.connector = self.reactor.connectTCP(*self.address, self.current_attempt, timeout=30)
 
-    def follow(self, address: tuple[str, int]) -> None:
-        """The log has moved: ask there at once for what comes after the last event.
+    def set_address(self, address: tuple[str, int]) -> None:
+        """Connect to the change log's new address at once and resume after the last event received.
 
-        Guards against waiting for the old one, which tells nothing any more though it may stay open.
+        The old connection is aborted: it may stay open, but no further events arrive on it.
         """
         if address == self.address:
             return
         self.address, self.backoff_ms = address, BACKOFF_MS[0]
         connection, self.connection = self.connection, None
-        connector, self.connector, self.current = self.connector, None, None
-        for key in (self.watch, self.pause):
+        connector, self.connector, self.current_attempt = self.connector, None, None
+        for key in (self.silence_deadline, self.retry_deadline):
             self.deadlines.cancel(key)
         if connection is not None:
             connection.drop()
@@ -125,42 +132,47 @@
         self.start()
 
     def connected(self, connection: WatchConnection) -> None:
+        """Request all events after the last one received."""
         self.connection = connection
         connection.send(f"since {self.seq}\n".encode())
-        self._watch(FIRST_LINE_MS)
+        self._restart_silence_timer(FIRST_LINE_TIMEOUT_MS)
 
-    def _watch(self, limit_ms: float) -> None:
-        self.deadlines.cancel(self.watch)
-        self.watch = self.deadlines.after(limit_ms, self.silent)
+    def _restart_silence_timer(self, limit_ms: float) -> None:
+        self.deadlines.cancel(self.silence_deadline)
+        self.silence_deadline = self.deadlines.after(limit_ms, self.silence_timed_out)
 
-    def silent(self) -> None:
-        """Guards against a log that stands still on an open connection, or never takes a new one."""
-        self.watch = None
+    def silence_timed_out(self) -> None:
+        """Give up a connection on which nothing arrives, or an attempt that is not accepted in time."""
+        self.silence_deadline = None
         if self.connection is not None and self.connection.unread:
-            self._watch(UNREAD_MS)  # it has spoken while this process stood still
+            self._restart_silence_timer(UNREAD_GRACE_MS)  # it arrived while this process was paused
             return
-        self.log.info("change log: silent, connecting anew after event {seq}", seq=self.seq)
+        self.log.info("change log: no data received; reconnecting after event {seq}", seq=self.seq)
         if self.connection is not None:
             self.connection.drop()
         elif self.connector is not None:
             self.connector.stopConnecting()
 
-    def failed(self) -> None:
-        """The current try has come to nothing."""
-        self._again()
+    def connect_failed(self) -> None:
+        """The current attempt to connect has failed."""
+        self._schedule_retry()
 
-    def lost(self, connection: WatchConnection) -> None:
+    def connection_lost(self, connection: WatchConnection) -> None:
+        """Schedule a new attempt if the connection is the current one."""
         if self.connection is connection:
             self.connection = None
-            self._again()
+            self._schedule_retry()
 
-    def _again(self) -> None:
-        self.deadlines.cancel(self.watch)
+    def _schedule_retry(self) -> None:
+        self.deadlines.cancel(self.silence_deadline)
         if not self.stopped:
-            self.pause = self.deadlines.after(self.backoff_ms * self.rng.uniform(0.7, 1.0), self.start)
+            self.retry_deadline = self.deadlines.after(
+                self.backoff_ms * self.rng.uniform(0.7, 1.0), self.start
+            )
             self.backoff_ms = min(self.backoff_ms * 2, BACKOFF_MS[1])
 
-    def heard(self, connection: WatchConnection, text: bytes) -> None:
+    def line_received(self, connection: WatchConnection, text: bytes) -> None:
+        """Process a heartbeat or an event; a malformed line ends the connection."""
         if connection is not self.connection:
             return
         try:
@@ -170,30 +182,38 @@
             self.log.error("change log: {error}", error=str(error)[:200])
             connection.drop()
             return
-        self._watch(SILENT_MS)
+        self._restart_silence_timer(SILENCE_TIMEOUT_MS)
         last = value if isinstance(value, int) else value["seq"]
-        if isinstance(value, int) or len(value) == 1:  # the last number alone: the heartbeat
+        if isinstance(value, int) or len(value) == 1:  # a heartbeat: the last sequence number alone
             self._heartbeat(connection, last)
-        elif last > self.seq and not self._asks_again(connection, last, change):
+        elif last > self.seq and not self._refetch_gap(connection, last, change):
             self.seq, self.backoff_ms = last, BACKOFF_MS[0]
             if change is not None:
-                self.tell(change)
+                self.on_update(change)
 
     def _heartbeat(self, connection: WatchConnection, last: int) -> None:
-        """Guards against calls without pause at a log that is ahead of what it tells."""
-        if last > self.seq:  # events are missing: ask for them again
+        """Process a heartbeat with the log's last sequence number.
+
+        The backoff is reset only if no event is missing.  Otherwise a log whose heartbeats run ahead of the
+        events that it sends would be reconnected to without a pause.
+        """
+        if last > self.seq:  # events are missing: request them again
             connection.drop()
         else:
             self.backoff_ms = BACKOFF_MS[0]
             self._caught_up()
 
-    def _asks_again(self, connection: WatchConnection, last: int, change: ListUpdate | None) -> bool:
-        """Guards against events that got lost: a gap is asked for once more, and taken if it is told again.
-        A whole list leaves no gap."""
+    def _refetch_gap(self, connection: WatchConnection, last: int, change: ListUpdate | None) -> bool:
+        """Drop the connection and return True if events before `last` are missing, on the first such request.
+
+        A gap that remains after the second request is accepted.  A full list leaves no gap.
+        """
         gap = self.seq, last
-        if last == self.seq + 1 or (change is not None and change.full) or self.asked_again == gap:
+        if last == self.seq + 1 or (change is not None and change.full) or self.refetched_gap == gap:
             return False
-        self.asked_again = gap
-        self.log.info("change log: event {last} after {seq}, asks again", last=last, seq=self.seq)
+        self.refetched_gap = gap
+        self.log.info(
+            "change log: event {last} follows {seq}; requesting the missing events", last=last, seq=self.seq
+        )
         connection.drop()
         return True
--- a/cloverhinge/rtsp/intake.py
+++ b/cloverhinge/rtsp/intake.py
@@ -1,8 +1,8 @@
-"""Set-ups that have been read and not begun yet, taken in turns from the connections that they came on.
+"""Set-up requests that have been read and not begun yet, scheduled round-robin over their connections.
 
-A set-up costs some milliseconds of decisions, and one connection may bring hundreds at once.  Each turn of
-the reactor begins what fits into a bounded time, one of each connection after the other, so a flood delays
-others by about one set-up for each connection that floods.
+Deciding on a set-up takes some milliseconds, and one connection may send hundreds at once.  Each iteration of
+the reactor begins as many as fit into a bounded time, one per connection in turn, so a flood delays the
+set-ups of other connections by about one set-up for each flooding connection.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 from cloverhinge.core.deadlines import Deadlines
 from cloverhinge.rtsp import messages
 
-TURN_MS = 10.0  # set-ups are begun for so long before other connections are read; a few of them
-QUEUED_MOST = 256  # set-ups of one connection; beyond that nothing is read from it until some have begun
-QUEUED_BYTES_MOST = 64 * 1024  # and their bodies together: as much as is read at once
+MAX_TURN_MS = 10.0  # time for beginning set-ups, a few of them, before other connections are read again
+MAX_QUEUED_SET_UPS = 256  # per connection; reading from it is paused until some have begun
+MAX_QUEUED_BYTES = 64 * 1024  # total size of their bodies: as much as is read at once
 
 
 @dataclass(frozen=True, slots=True)
-class SetUp:
-    """A set-up as it was read, and when."""
+class ReceivedSetUp:
+    """A set-up request as read, and the time when it was read."""
 
     message: messages.Message
     read_ms: float
 
 
-class Queue:
-    """The set-ups of one connection, in their order."""
+class SetUpQueue:
+    """The set-ups of one connection, in order of arrival."""
 
     def __init__(self) -> None:
-        self._waiting: deque[SetUp] = deque()
+        self._waiting: deque[ReceivedSetUp] = deque()
         self._bytes = 0
 
     def __len__(self) -> int:
@@ -39,70 +39,75 @@
 
     @property
     def full(self) -> bool:
-        return len(self._waiting) >= QUEUED_MOST or self._bytes >= QUEUED_BYTES_MOST
+        """Whether the limit on the number or on the total size is reached."""
+        return len(self._waiting) >= MAX_QUEUED_SET_UPS or self._bytes >= MAX_QUEUED_BYTES
 
-    def add(self, one: SetUp) -> None:
-        self._waiting.append(one)
-        self._bytes += len(one.message.body)
+    def add(self, set_up: ReceivedSetUp) -> None:
+        """Append a set-up; the caller checks `full`."""
+        self._waiting.append(set_up)
+        self._bytes += len(set_up.message.body)
 
-    def next(self) -> SetUp:
-        one = self._waiting.popleft()
-        self._bytes -= len(one.message.body)
-        return one
+    def next(self) -> ReceivedSetUp:
+        """Remove and return the first set-up.  Raises IndexError if there is none."""
+        set_up = self._waiting.popleft()
+        self._bytes -= len(set_up.message.body)
+        return set_up
 
-    def holds(self, session: str) -> bool:
-        return any(one.message.session == session for one in self._waiting)
+    def contains(self, session: str) -> bool:
+        """Whether a set-up of this session waits."""
+        return any(x.message.session_id == session for x in self._waiting)
 
     def cancel(self, session: str) -> None:
-        """Forget those of a session, as their client has."""
-        if not self.holds(session):
+        """Remove the set-ups of a session that its client has cancelled."""
+        if not self.contains(session):
             return
-        left = [one for one in self._waiting if one.message.session != session]
+        left = [x for x in self._waiting if x.message.session_id != session]
         self.clear()
-        for one in left:
-            self.add(one)
+        for set_up in left:
+            self.add(set_up)
 
     def clear(self) -> None:
+        """Remove all set-ups."""
         self._waiting.clear()
         self._bytes = 0
 
 
-class Source(Protocol):
-    """A connection with set-ups that wait."""
+class SetUpSource(Protocol):
+    """A connection with a queue of set-ups."""
 
-    queue: Queue
+    queue: SetUpQueue
 
-    def begin(self, one: SetUp) -> None:
-        """Hand it to the core, or answer it."""
+    def begin(self, set_up: ReceivedSetUp) -> None:
+        """Pass the set-up to the core, or answer it."""
 
 
-class Intake:
-    """Begins set-ups in turns.  Each source is known to it once, while something waits there."""
+class SetUpScheduler:
+    """Begins queued set-ups round-robin.  A source is registered once, while its queue is not empty."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.deadlines = deadlines
-        self._sources: deque[Source] = deque()
-        self._known: set[Source] = set()
+        self._sources: deque[SetUpSource] = deque()
+        self._known: set[SetUpSource] = set()
         self._scheduled = False
 
-    def offer(self, source: Source) -> None:
-        """Something may wait there.  It begins at once where nothing waits before it."""
+    def offer(self, source: SetUpSource) -> None:
+        """Register a source whose queue may have become non-empty; begin at once if no other source waits."""
         if not len(source.queue) or source in self._known:
             return
         self._known.add(source)
         self._sources.append(source)
         if not self._scheduled:
-            self._turn()
+            self._run_turn()
 
     def cancel(self, session: str) -> None:
-        """Whatever ends a session may come on any connection."""
+        """Remove a session's set-ups from all queues; the cancellation may arrive on any connection."""
         for source in self._known:
             source.queue.cancel(session)
 
-    def _turn(self) -> None:
-        self._scheduled = True  # what is offered meanwhile waits behind
+    def _run_turn(self) -> None:
+        self._scheduled = True  # sources offered during this turn are appended
         clock = self.deadlines.clock
-        until_ms = clock.now() + TURN_MS
+        until_ms = clock.now() + MAX_TURN_MS
         while self._sources and clock.now() < until_ms:
             source = self._sources.popleft()
             if len(source.queue):
@@ -113,4 +118,4 @@
                 self._known.discard(source)
         self._scheduled = bool(self._sources)
         if self._scheduled:
-            self.deadlines.after(0.0, self._turn)
+            self.deadlines.after(0.0, self._run_turn)
--- a/cloverhinge/rtsp/replicated_sessions.py
+++ b/cloverhinge/rtsp/replicated_sessions.py
@@ -7,7 +7,7 @@
 from cloverhinge.ownership.component import SESSION_PREFIX, OwnershipComponent
 from cloverhinge.ownership.replicated_work import ReplicatedSession, decode
 from cloverhinge.rtsp.client import RtspClient
-from cloverhinge.rtsp.front import Front
+from cloverhinge.rtsp.front import RtspFrontend
 from cloverhinge.rtsp.media_servers import MediaServers
 
 
@@ -15,11 +15,11 @@
     """Implements `FrontAdapter` for the RTSP front."""
 
     def __init__(
-        self, ownership: OwnershipComponent, router: Router, front: Front, servers: MediaServers
+        self, ownership: OwnershipComponent, router: Router, front: RtspFrontend, servers: MediaServers
     ) -> None:
         self.ownership, self.router, self.front, self.servers = ownership, router, front, servers
-        servers.handed_on = ownership.handed_over.__contains__
-        front.kept_answer = self.replicated_answer
+        servers.is_handed_over = ownership.handed_over.__contains__
+        front.replicated_answer = self.replicated_answer
         ownership.add_front(SESSION_PREFIX, self)
 
     def replicated_answer(self, session_id: str) -> bytes:
@@ -43,7 +43,7 @@
         client = RtspClient(self.front, 0, session.peer_address, session.session_id)
         request = self.ownership.adopt_session(session.set_up_request(), session, client, self.servers)
         if request is not None:
-            client.stands(True)
+            client.set_established(True)
         return request is not None
 
     def ownership_lost(self, id: str) -> None:
@@ -52,4 +52,4 @@
     def release_leftover(self, session: ReplicatedSession) -> None:
         """Releases nothing while a client of the same session is here: its set-up has the same name."""
         if session.session_id not in self.router.by_session_id:
-            self.servers.let_go(session.server, session.session_id)
+            self.servers.release_leftover(session.server, session.session_id)
