--- a/cloverhinge/node.py
+++ b/cloverhinge/node.py
@@ -120,10 +120,10 @@
         self.components: list[Component] = []
         self.operations: Any = None  # if operator commands are on, or another process may share the listener
         if config.operator_address is not None or config.listener_fd is not None:
-            from cloverhinge.operations.component import Operation  # loaded only if it is needed
+            from cloverhinge.operations.component import OperationsComponent  # loaded only if it is needed
 
             folder = os.environ.get("TMPDIR")
-            self.operations = Operation(
+            self.operations = OperationsComponent(
                 reactor,
                 config.name,
                 config.operator_address,
@@ -132,7 +132,7 @@
                 self.router,
                 self.deadlines,
             )
-            self.operations.shared = self.media_servers.share
+            self.operations.on_sharing_changed = self.media_servers.share
         if site.members is not None:
             # Loaded only if there are other routers.
             from cloverhinge.members.transport import MembershipTransport
@@ -214,7 +214,7 @@
         for component in self.components:
             component.start()
         if self.operations is not None:
-            self.operations.serving()
+            self.operations.begin_serving()
         if self.site.members is not None:
             self._publish()
 
@@ -344,7 +344,7 @@
         if update.full and not update.rows and self.servers:
             update, kind = self._all_draining(update), api.ListKind.DELTA
         if self.operations is not None:
-            self.operations.listed(server.name for server, _ in update.rows)
+            self.operations.add_known_ids(server.name for server, _ in update.rows)
         kind = kind or (api.ListKind.FULL if update.full else api.ListKind.DELTA)
         if kind is not api.ListKind.DELTA:
             self.servers.clear()  # in place, as the RTSP and HLS sides use the same dictionary
@@ -432,7 +432,7 @@
 
     def _ended(self) -> None:
         if self.operations is not None:
-            self.operations.ended()
+            self.operations.stop()
 
 
 def serve(config: Config, site: Site) -> int:
--- a/cloverhinge/operations/command_server.py
+++ b/cloverhinge/operations/command_server.py
@@ -10,62 +10,67 @@
 
 from cloverhinge.core.deadlines import DeadlineKey, Deadlines
 from cloverhinge.net.buffered import BufferedReceiver
-from cloverhinge.operations.commands import LINE_MOST, no
+from cloverhinge.operations.commands import MAX_LINE_BYTES, nak
 
-CALLERS_MOST = 16  # at a time
-IDLE_MS = 6000.0  # a caller without a whole call is let go then; some hold on for 4 s
+MAX_PENDING_CONNECTIONS = 16  # at a time
+IDLE_TIMEOUT_MS = 6000.0  # a caller without a whole call is let go then; some hold on for 4 s
 
 
-class Caller(BufferedReceiver):
-    MAX_LENGTH = LINE_MOST
+class CommandConnection(BufferedReceiver):
+    MAX_LENGTH = MAX_LINE_BYTES
     delimiter = b"\n"
 
-    def __init__(self, desk: Desk) -> None:
+    def __init__(self, server: CommandServer) -> None:
         super().__init__()
-        self.desk = desk
-        self.idle: DeadlineKey | None = None
+        self.server = server
+        self.idle_timer: DeadlineKey | None = None
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.idle = self.desk.deadlines.after(IDLE_MS, self.drop)
-        self.desk.up(self)
+        self.idle_timer = self.server.deadlines.after(IDLE_TIMEOUT_MS, self.drop)
+        self.server.add_pending(self)
 
     def lineReceived(self, line: bytes) -> None:
-        self.conclude(self.desk.answer(line))
+        self.reply_and_close(self.server.execute(line))
 
     def oversized(self) -> None:
-        self.conclude(no("too long a line"))
+        self.reply_and_close(nak("too long a line"))
 
-    def conclude(self, text: str) -> None:
-        self.desk.take_out(self)
+    def reply_and_close(self, text: str) -> None:
+        self.server.remove_pending(self)
         self.send(text.encode())
         self.close()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.gone = True
-        self.desk.deadlines.cancel(self.idle)
-        self.desk.take_out(self)
+        self.server.deadlines.cancel(self.idle_timer)
+        self.server.remove_pending(self)
 
 
-class Desk(ServerFactory):
+class CommandServer(ServerFactory):
     noisy = False
 
     def __init__(
-        self, answer: Callable[[bytes], str], deadlines: Deadlines, most: int = CALLERS_MOST
+        self,
+        execute: Callable[[bytes], str],
+        deadlines: Deadlines,
+        max_pending: int = MAX_PENDING_CONNECTIONS,
     ) -> None:
-        self.answer, self.deadlines, self.most = answer, deadlines, most
-        self.waiting: dict[Caller, None] = {}  # no whole call has come of them yet; the first to come first
+        self.execute, self.deadlines, self.max_pending = execute, deadlines, max_pending
+        self.pending: dict[
+            CommandConnection, None
+        ] = {}  # no whole call has come of them yet; the first to come first
 
-    def buildProtocol(self, addr: Any) -> Caller:
-        return Caller(self)
+    def buildProtocol(self, addr: Any) -> CommandConnection:
+        return CommandConnection(self)
 
-    def up(self, caller: Caller) -> None:
+    def add_pending(self, connection: CommandConnection) -> None:
         """Guards against callers who hold connections and say nothing: the first of them makes room."""
-        if len(self.waiting) >= self.most:
-            first = next(iter(self.waiting))
-            del self.waiting[first]
+        if len(self.pending) >= self.max_pending:
+            first = next(iter(self.pending))
+            del self.pending[first]
             first.drop()
-        self.waiting[caller] = None
+        self.pending[connection] = None
 
-    def take_out(self, caller: Caller) -> None:
-        self.waiting.pop(caller, None)
+    def remove_pending(self, connection: CommandConnection) -> None:
+        self.pending.pop(connection, None)
--- a/cloverhinge/operations/commands.py
+++ b/cloverhinge/operations/commands.py
@@ -4,30 +4,30 @@
 
 from typing import Protocol
 
-from cloverhinge.operations.maintenance import BANS_MOST, NAME_MOST
-from cloverhinge.operations.metrics import Figures
+from cloverhinge.operations.maintenance import MAX_ID_LENGTH, MAX_IN_MAINTENANCE
+from cloverhinge.operations.metrics import MetricsSnapshot
 
-LINE_MOST = 256  # bytes of a call: a word and an id
-WORDS = "status, stats, maint-on ID, maint-off ID"
+MAX_LINE_BYTES = 256  # bytes of a call: a word and an id
+COMMAND_LIST = "status, stats, maint-on ID, maint-off ID"
 
 
-class Router(Protocol):
+class CommandTarget(Protocol):
     """What a call may ask of the router and tell it."""
 
     @property
-    def waits_for(self) -> str:
+    def not_ready_reason(self) -> str:
         """Why it can't serve now, in words; none where it can."""
 
-    def figures(self) -> Figures: ...
+    def metrics(self) -> MetricsSnapshot: ...
 
-    def known(self, name: str) -> bool:
+    def is_known(self, name: str) -> bool:
         """Whether a list has ever named this box."""
 
-    def leave_out(self, name: str, out: bool) -> bool:
+    def set_maintenance(self, name: str, active: bool) -> bool:
         """Leave a box out or put it back.  False where no more can be left out."""
 
 
-def answer(line: bytes, router: Router) -> str:
+def execute(line: bytes, target: CommandTarget) -> str:
     """The answer to one call, with all its lines ended.  Says no to whatever is no call."""
     try:
         words = line.decode("ascii").split()
@@ -35,18 +35,22 @@
         words = []
     match words:
         case ["status"]:
-            return no(router.waits_for) if router.waits_for else "ACK\n"
+            return nak(target.not_ready_reason) if target.not_ready_reason else "ACK\n"
         case ["stats"]:
-            return "".join(f"{x}\n" for x in ("ACK", *router.figures().lines(), "--"))
-        case ["maint-on" | "maint-off", name] if len(name) > NAME_MOST or not router.known(name):
-            return no("no such id was ever listed")
+            return "".join(f"{x}\n" for x in ("ACK", *target.metrics().lines(), "--"))
+        case ["maint-on" | "maint-off", name] if len(name) > MAX_ID_LENGTH or not target.is_known(name):
+            return nak("no such id was ever listed")
         case ["maint-on", name]:
-            return "ACK\n" if router.leave_out(name, True) else no(f"{BANS_MOST} are left out already")
+            return (
+                "ACK\n"
+                if target.set_maintenance(name, True)
+                else nak(f"{MAX_IN_MAINTENANCE} are left out already")
+            )
         case ["maint-off", name]:
-            router.leave_out(name, False)
+            target.set_maintenance(name, False)
             return "ACK\n"
-    return no(f"known calls: {WORDS}")
+    return nak(f"known calls: {COMMAND_LIST}")
 
 
-def no(why: str) -> str:
+def nak(why: str) -> str:
     return f"NAK {why}\n"
--- a/cloverhinge/operations/component.py
+++ b/cloverhinge/operations/component.py
@@ -15,18 +15,20 @@
 from cloverhinge.decision.upgrade_overlap import divide_traffic, export_learned, import_learned, import_seats
 from cloverhinge.discovery.updates import server_number
 from cloverhinge.operations import commands as command_lines
-from cloverhinge.operations.command_server import CALLERS_MOST, Desk
-from cloverhinge.operations.instance_files import Beside
-from cloverhinge.operations.maintenance import Bans
-from cloverhinge.operations.maintenance_file import Shelf
-from cloverhinge.operations.metrics import Figures
-from cloverhinge.operations.overlap import Phase, encode, parts
+from cloverhinge.operations.command_server import MAX_PENDING_CONNECTIONS, CommandServer
+from cloverhinge.operations.instance_files import InstanceFiles
+from cloverhinge.operations.maintenance import MaintenanceRegister
+from cloverhinge.operations.maintenance_file import MaintenanceFile
+from cloverhinge.operations.metrics import MetricsSnapshot
+from cloverhinge.operations.overlap import Phase, count_sharing_processes, encode
 
-SHELF_MS = 100.0  # a call at the process beside this is obeyed so soon: less than half of the shortest grace
-CALLERS_SHARE = 1 / 16  # of the descriptors at the most
+POLL_INTERVAL_MS = (
+    100.0  # a call at the process beside this is obeyed so soon: less than half of the shortest grace
+)
+MAX_DESCRIPTOR_SHARE = 1 / 16  # of the descriptors at the most
 
 
-class Operation:
+class OperationsComponent:
     log = Logger()
     key = "operation"
 
@@ -34,80 +36,91 @@
         self,
         reactor: Any,
         name: str,
-        mgmt: tuple[str, int] | None,
+        command_address: tuple[str, int] | None,
         folder: Path | None,
         sockets: int,
         router: Router,
         deadlines: Deadlines,
     ) -> None:
-        self.reactor, self.name, self.mgmt = reactor, name, mgmt
+        self.reactor, self.name, self.command_address = reactor, name, command_address
         self.router, self.deadlines = router, deadlines
-        self.bans = Bans()
-        self.phase, self.parts = Phase.STARTING, 1
-        self.shared: Callable[[int], None] = lambda parts: None  # told how many share the router's place
-        self.shelf: Shelf | None = None
-        self.beside: Beside | None = None
+        self.maintenance = MaintenanceRegister()
+        self.phase, self.sharing_processes = Phase.STARTING, 1
+        self.on_sharing_changed: Callable[[int], None] = (
+            lambda parts: None
+        )  # told how many share the router's place
+        self.maintenance_file: MaintenanceFile | None = None
+        self.instance_files: InstanceFiles | None = None
         if folder is not None:
             stem = f"cloverhinge-{re.sub(r'[^A-Za-z0-9_-]', '_', name)}"
-            self.shelf, self.beside = Shelf(folder / f"{stem}-bans.json"), Beside(folder, stem)
-            self._merge()  # before anything is sent
-        self.told = False  # of this process, to others
-        self.desk = Desk(
-            lambda line: command_lines.answer(line, self),
+            self.maintenance_file, self.instance_files = (
+                MaintenanceFile(folder / f"{stem}-bans.json"),
+                InstanceFiles(folder, stem),
+            )
+            self._merge_file()  # before anything is sent
+        self.published = False  # of this process, to others
+        self.command_server = CommandServer(
+            lambda line: command_lines.execute(line, self),
             deadlines,
-            max(1, min(CALLERS_MOST, int(sockets * CALLERS_SHARE))),
+            max(1, min(MAX_PENDING_CONNECTIONS, int(sockets * MAX_DESCRIPTOR_SHARE))),
         )
 
     def start(self) -> None:
-        if self.mgmt is not None:
-            port = self.reactor.listenTCP(self.mgmt[1], self.desk, interface=self.mgmt[0])
+        if self.command_address is not None:
+            port = self.reactor.listenTCP(
+                self.command_address[1], self.command_server, interface=self.command_address[0]
+            )
             self.log.info(
                 "{name}: operators at {host}:{port}",
                 name=self.name,
-                host=self.mgmt[0],
+                host=self.command_address[0],
                 port=port.getHost().port,
             )
-        if self.beside is not None:
-            self.beside.start()
-            self._look()
+        if self.instance_files is not None:
+            self.instance_files.start()
+            self._poll_files()
 
-    def serving(self) -> None:
-        self._enter(Phase.SERVING)
+    def begin_serving(self) -> None:
+        self._set_phase(Phase.SERVING)
 
     def begin_shutdown(self) -> None:
-        self._enter(Phase.ENDING)
+        self._set_phase(Phase.ENDING)
 
-    def ended(self) -> None:
-        beside, self.beside = self.beside, None  # nothing more is told
+    def stop(self) -> None:
+        beside, self.instance_files = self.instance_files, None  # nothing more is told
         if beside is not None:
-            beside.end()
+            beside.remove_own()
 
-    def _enter(self, phase: Phase) -> None:
+    def _set_phase(self, phase: Phase) -> None:
         self.phase = phase
-        if self.beside is not None:
-            self._compare(self.beside)
+        if self.instance_files is not None:
+            self._exchange_state(self.instance_files)
 
     @property
-    def waits_for(self) -> str:
+    def not_ready_reason(self) -> str:
         return {Phase.STARTING: "starting", Phase.SERVING: "", Phase.ENDING: "told to end"}[self.phase]
 
-    def listed(self, names: Iterable[str]) -> None:
-        self.bans.names(names)
+    def add_known_ids(self, names: Iterable[str]) -> None:
+        self.maintenance.add_known_ids(names)
 
     def status(self) -> dict[str, Any]:
-        return {"left_out": sorted(self.bans.out), "waits_for": self.waits_for, "processes": self.parts}
+        return {
+            "left_out": sorted(self.maintenance.active),
+            "waits_for": self.not_ready_reason,
+            "processes": self.sharing_processes,
+        }
 
     def commands(self) -> dict[str, Callable[[str], dict[str, Any]]]:
         """The same calls for those who come to the admin socket."""
 
         def call(word: str) -> Callable[[str], dict[str, Any]]:
-            return lambda about: {"answer": command_lines.answer(f"{word} {about}".encode(), self).strip()}
+            return lambda about: {"answer": command_lines.execute(f"{word} {about}".encode(), self).strip()}
 
         return {word: call(word) for word in ("maint-on", "maint-off")}
 
     # What calls ask and tell
 
-    def figures(self) -> Figures:
+    def metrics(self) -> MetricsSnapshot:
         router = self.router
         servers, now_us = router.controller.fleet.servers, to_us(router.clock.now())
         avoided = sum(
@@ -116,63 +129,63 @@
             if number in router.maintenance
             or (number in servers and servers[number].suspect_until_us > now_us)
         )
-        return Figures(router.counters.tallies, len(router.requests), len(router.listings), avoided)
+        return MetricsSnapshot(router.counters.tallies, len(router.requests), len(router.listings), avoided)
 
-    def known(self, name: str) -> bool:
-        return self.bans.known(name)
+    def is_known(self, name: str) -> bool:
+        return self.maintenance.is_known(name)
 
-    def leave_out(self, name: str, out: bool) -> bool:
-        self._merge()
-        now_ms, before = self.router.clock.now(), name in self.bans.out
-        if not self.bans.tell(name, out, now_ms):
+    def set_maintenance(self, name: str, active: bool) -> bool:
+        self._merge_file()
+        now_ms, before = self.router.clock.now(), name in self.maintenance.active
+        if not self.maintenance.set_maintenance(name, active, now_ms):
             return False
-        if before != out:
-            self._obey({name: out})
-        if self.shelf is not None:
-            self.shelf.write(self.bans.encode())
+        if before != active:
+            self._apply_changes({name: active})
+        if self.maintenance_file is not None:
+            self.maintenance_file.write(self.maintenance.encode())
         return True
 
     # The file
 
-    def _obey(self, changed: dict[str, bool]) -> None:
+    def _apply_changes(self, changed: dict[str, bool]) -> None:
         for name, out in changed.items():
             if out:
-                self.router.start_maintenance(server_number(name), self.bans.records[name].at_ms)
+                self.router.start_maintenance(server_number(name), self.maintenance.records[name].changed_ms)
             else:
                 self.router.end_maintenance(server_number(name))
             self.log.info("box {box}: {what}", box=name, what="left out by hand" if out else "put back")
 
-    def _merge(self) -> None:
-        records = None if self.shelf is None else self.shelf.read()
-        if records is None or self.shelf is None:
+    def _merge_file(self) -> None:
+        records = None if self.maintenance_file is None else self.maintenance_file.read()
+        if records is None or self.maintenance_file is None:
             return
-        self._obey(self.bans.merge(records, self.router.clock.now()))
-        if self.bans.lacking(records):
-            self.shelf.write(self.bans.encode())
+        self._apply_changes(self.maintenance.merge(records, self.router.clock.now()))
+        if self.maintenance.has_changes_for(records):
+            self.maintenance_file.write(self.maintenance.encode())
 
-    def _compare(self, beside: Beside) -> None:
+    def _exchange_state(self, beside: InstanceFiles) -> None:
         """What each process says of itself, and what that comes to for this one."""
-        others, router = beside.others(), self.router
-        if others or not self.told:
-            self.told = True
-            beside.tell(encode(self.phase, export_learned(router.controller)))
+        others, router = beside.read_others(), self.router
+        if others or not self.published:
+            self.published = True
+            beside.publish(encode(self.phase, export_learned(router.controller)))
         for other in others:
             if other is not None and other.known.servers:
                 import_learned(router.controller, to_us(router.clock.now()), other.known)
         import_seats(router.controller, (x.known for x in others if x is not None))
-        shared = parts(self.phase, (x.phase for x in others if x is not None))
-        if shared != self.parts:
-            self.parts = shared
+        shared = count_sharing_processes(self.phase, (x.phase for x in others if x is not None))
+        if shared != self.sharing_processes:
+            self.sharing_processes = shared
             divide_traffic(router.controller, router.settings, shared)
-            self.shared(shared)
+            self.on_sharing_changed(shared)
             self.log.info(
                 "{name}: {parts} in this router's place",
                 name=self.name,
                 parts="another process serves" if shared > 1 else "no other process serves",
             )
 
-    def _look(self) -> None:
-        self._merge()
-        if self.beside is not None:
-            self._compare(self.beside)
-        self.deadlines.after(SHELF_MS, self._look)
+    def _poll_files(self) -> None:
+        self._merge_file()
+        if self.instance_files is not None:
+            self._exchange_state(self.instance_files)
+        self.deadlines.after(POLL_INTERVAL_MS, self._poll_files)
--- a/cloverhinge/operations/instance_files.py
+++ b/cloverhinge/operations/instance_files.py
@@ -11,59 +11,61 @@
 
 from twisted.logger import Logger
 
-from cloverhinge.operations.overlap import TOLD_MOST, Told, decode
+from cloverhinge.operations.overlap import MAX_STATE_BYTES, InstanceState, decode
 
-OTHERS_MOST = 8  # files looked at; the platform starts one beside another
+MAX_OTHER_INSTANCES = 8  # files looked at; the platform starts one beside another
 
 
-class Beside:
+class InstanceFiles:
     log = Logger()
 
-    def __init__(self, folder: Path, stem: str) -> None:
-        self.folder, self.stem = folder, stem
-        self.own = folder / f"{stem}-{os.getpid()}.lock"
-        self.lock: int | None = None
-        self.said: set[str] = set()
+    def __init__(self, folder: Path, file_prefix: str) -> None:
+        self.folder, self.file_prefix = folder, file_prefix
+        self.own_lock_path = folder / f"{file_prefix}-{os.getpid()}.lock"
+        self.lock_fd: int | None = None
+        self.logged_errors: set[str] = set()
 
     def start(self) -> None:
         """A process that can't say that it lives serves all the same, as if it were alone."""
         try:
-            self.lock = os.open(self.own, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self.lock_fd = os.open(self.own_lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
-            self.log.error("{path}: {why}; goes on as if alone", path=str(self.own), why=str(error.strerror))
+            self.log.error(
+                "{path}: {why}; goes on as if alone", path=str(self.own_lock_path), why=str(error.strerror)
+            )
 
-    def tell(self, data: bytes) -> None:
-        if self.lock is None:
+    def publish(self, data: bytes) -> None:
+        if self.lock_fd is None:
             return
         try:
-            beside = self.own.with_suffix(".new")
+            beside = self.own_lock_path.with_suffix(".new")
             beside.write_bytes(data)
-            os.replace(beside, self.own.with_suffix(".told"))
+            os.replace(beside, self.own_lock_path.with_suffix(".told"))
         except OSError as error:
-            self._once(f"{self.own}: can't be written: {error.strerror}")
+            self._log_once(f"{self.own_lock_path}: can't be written: {error.strerror}")
 
-    def others(self) -> list[Told | None]:
+    def read_others(self) -> list[InstanceState | None]:
         """Those that live now; None for one whose word can't be read yet."""
-        found: list[Told | None] = []
-        for path in sorted(self.folder.glob(f"{self.stem}-*.lock"))[:OTHERS_MOST]:
-            if path == self.own:
+        found: list[InstanceState | None] = []
+        for path in sorted(self.folder.glob(f"{self.file_prefix}-*.lock"))[:MAX_OTHER_INSTANCES]:
+            if path == self.own_lock_path:
                 continue
-            if not self._lives(path):
+            if not self._is_locked(path):
                 for suffix in (".lock", ".told", ".new"):
                     path.with_suffix(suffix).unlink(missing_ok=True)
                 continue
             try:
                 with open(path.with_suffix(".told"), "rb") as file:
-                    found.append(decode(file.read(TOLD_MOST + 1)))
+                    found.append(decode(file.read(MAX_STATE_BYTES + 1)))
             except FileNotFoundError:
                 found.append(None)
             except (OSError, ValueError) as error:
-                self._once(f"{path}: {error}")
+                self._log_once(f"{path}: {error}")
                 found.append(None)
         return found
 
-    def _lives(self, path: Path) -> bool:
+    def _is_locked(self, path: Path) -> bool:
         try:
             handle = os.open(path, os.O_RDWR | os.O_CLOEXEC)
         except OSError:
@@ -76,11 +78,11 @@
             os.close(handle)
         return False
 
-    def end(self) -> None:
+    def remove_own(self) -> None:
         for suffix in (".lock", ".told"):
-            self.own.with_suffix(suffix).unlink(missing_ok=True)
+            self.own_lock_path.with_suffix(suffix).unlink(missing_ok=True)
 
-    def _once(self, text: str) -> None:
-        if text not in self.said and len(self.said) < OTHERS_MOST:
-            self.said.add(text)
+    def _log_once(self, text: str) -> None:
+        if text not in self.logged_errors and len(self.logged_errors) < MAX_OTHER_INSTANCES:
+            self.logged_errors.add(text)
             self.log.error("{text}", text=text[:300])
--- a/cloverhinge/operations/maintenance.py
+++ b/cloverhinge/operations/maintenance.py
@@ -7,99 +7,99 @@
 
 import msgspec
 
-from cloverhinge.operations.file_formats import read
+from cloverhinge.operations.file_formats import decode_json_file
 
-BANS_MOST = 1024  # boxes left out at a time: more than a router lists
-RECORDS_MOST = 2 * BANS_MOST  # those that ended included
-ENDED_KEPT_MS = 600_000.0  # an ended ban outlives any file of before by so much
-NAMES_MOST = 16_384  # ids that were ever listed, the latest; some 2 MB
-FILE_MOST = 512 * 1024  # bytes
-NAME_MOST = 128  # characters of an id
+MAX_IN_MAINTENANCE = 1024  # boxes left out at a time: more than a router lists
+MAX_RECORDS = 2 * MAX_IN_MAINTENANCE  # those that ended included
+ENDED_RETENTION_MS = 600_000.0  # an ended ban outlives any file of before by so much
+MAX_KNOWN_IDS = 16_384  # ids that were ever listed, the latest; some 2 MB
+MAX_FILE_BYTES = 512 * 1024  # bytes
+MAX_ID_LENGTH = 128  # characters of an id
 
 
-class Record(msgspec.Struct, frozen=True, array_like=True):
+class MaintenanceRecord(msgspec.Struct, frozen=True, array_like=True):
     """The last call for one box: `at_ms` is the Unix time at which it was taken."""
 
-    at_ms: float
-    out: bool
+    changed_ms: float
+    active: bool
 
-    def later(self, other: Record) -> bool:
+    def supersedes(self, other: MaintenanceRecord) -> bool:
         """At the same moment the ban holds: what is left out too long harms nobody."""
-        return (self.at_ms, self.out) > (other.at_ms, other.out)
+        return (self.changed_ms, self.active) > (other.changed_ms, other.active)
 
 
-class Kept(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MaintenanceFileContent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The file's form."""
 
     form: Literal["bans 1"]
-    records: dict[str, Record]
+    records: dict[str, MaintenanceRecord]
 
 
-class Bans:
+class MaintenanceRegister:
     """Who is left out.  `tell` sets a record, `merge` takes in others'; both return what changed."""
 
     def __init__(self) -> None:
-        self.records: dict[str, Record] = {}
-        self.listed: dict[str, None] = {}  # ids that were ever listed, the longest known first
-        self.out: set[str] = set()
+        self.records: dict[str, MaintenanceRecord] = {}
+        self.known_ids: dict[str, None] = {}  # ids that were ever listed, the longest known first
+        self.active: set[str] = set()
 
-    def names(self, names: Iterable[str]) -> None:
+    def add_known_ids(self, ids: Iterable[str]) -> None:
         """Ids that a list names: a call may be about them from now on, also when they have left it."""
-        for name in names:
-            self.listed.setdefault(name)
-        while len(self.listed) > NAMES_MOST:
-            del self.listed[next(iter(self.listed))]
+        for name in ids:
+            self.known_ids.setdefault(name)
+        while len(self.known_ids) > MAX_KNOWN_IDS:
+            del self.known_ids[next(iter(self.known_ids))]
 
-    def known(self, name: str) -> bool:
-        return name in self.listed or name in self.out
+    def is_known(self, name: str) -> bool:
+        return name in self.known_ids or name in self.active
 
-    def tell(self, name: str, out: bool, now_ms: float) -> bool:
+    def set_maintenance(self, name: str, active: bool, now_ms: float) -> bool:
         """A call.  False where no more can be left out."""
-        if out and name not in self.out and len(self.out) >= BANS_MOST:
+        if active and name not in self.active and len(self.active) >= MAX_IN_MAINTENANCE:
             return False
         before = self.records.get(name)
         # A clock that was set back changes nothing.
-        at_ms = now_ms if before is None else max(now_ms, before.at_ms + 1.0)
-        self.merge({name: Record(at_ms, out)}, now_ms)
+        at_ms = now_ms if before is None else max(now_ms, before.changed_ms + 1.0)
+        self.merge({name: MaintenanceRecord(at_ms, active)}, now_ms)
         return True
 
-    def merge(self, records: dict[str, Record], now_ms: float) -> dict[str, bool]:
+    def merge(self, records: dict[str, MaintenanceRecord], now_ms: float) -> dict[str, bool]:
         """Boxes of which another thing holds now: left out or not."""
         changed: dict[str, bool] = {}
         for name, record in records.items():
             before = self.records.get(name)
-            if before is not None and not record.later(before):
+            if before is not None and not record.supersedes(before):
                 continue
-            if record.out and name not in self.out and len(self.out) >= BANS_MOST:
+            if record.active and name not in self.active and len(self.active) >= MAX_IN_MAINTENANCE:
                 continue
             self.records[name] = record
-            if record.out != (name in self.out):
-                changed[name] = record.out
-                (self.out.add if record.out else self.out.discard)(name)
+            if record.active != (name in self.active):
+                changed[name] = record.active
+                (self.active.add if record.active else self.active.discard)(name)
         self._prune(now_ms)
         return changed
 
     def _prune(self, now_ms: float) -> None:
-        ended = sorted((x.at_ms, name) for name, x in self.records.items() if not x.out)
-        spare = len(self.records) - RECORDS_MOST
+        ended = sorted((x.changed_ms, name) for name, x in self.records.items() if not x.active)
+        spare = len(self.records) - MAX_RECORDS
         for at, (at_ms, name) in enumerate(ended):
-            if at < spare or now_ms - at_ms > ENDED_KEPT_MS:
+            if at < spare or now_ms - at_ms > ENDED_RETENTION_MS:
                 del self.records[name]
 
-    def lacking(self, records: dict[str, Record]) -> bool:
+    def has_changes_for(self, records: dict[str, MaintenanceRecord]) -> bool:
         """Whether this knows of something that those records don't."""
-        return any(name not in records or own.later(records[name]) for name, own in self.records.items())
+        return any(name not in records or own.supersedes(records[name]) for name, own in self.records.items())
 
     def encode(self) -> bytes:
-        return msgspec.json.encode(Kept("bans 1", self.records))
+        return msgspec.json.encode(MaintenanceFileContent("bans 1", self.records))
 
 
-def decode(data: bytes) -> dict[str, Record]:
+def decode(data: bytes) -> dict[str, MaintenanceRecord]:
     """The records of a file.  ValueError, in one plain sentence, where it is none of ours."""
-    kept = read(data, Kept, FILE_MOST, "file of bans")
-    if len(kept.records) > RECORDS_MOST:
-        raise ValueError(f"holds {len(kept.records)} records, {RECORDS_MOST} at most")
+    kept = decode_json_file(data, MaintenanceFileContent, MAX_FILE_BYTES, "file of bans")
+    if len(kept.records) > MAX_RECORDS:
+        raise ValueError(f"holds {len(kept.records)} records, {MAX_RECORDS} at most")
     for name, record in kept.records.items():
-        if not 0 < len(name) <= NAME_MOST or not 0 <= record.at_ms < 1e15:
+        if not 0 < len(name) <= MAX_ID_LENGTH or not 0 <= record.changed_ms < 1e15:
             raise ValueError("holds a record that makes no sense")
     return kept.records
--- a/cloverhinge/operations/metrics.py
+++ b/cloverhinge/operations/metrics.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class MetricsSnapshot:
     """At one moment.  Counts are since the start of the process."""
 
     tallies: dict[str, Tally]  # by class, as the settings name them
--- a/cloverhinge/operations/overlap.py
+++ b/cloverhinge/operations/overlap.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from cloverhinge.decision.upgrade_overlap import LearnedState
-from cloverhinge.operations.file_formats import read
+from cloverhinge.operations.file_formats import decode_json_file
 
-TOLD_MOST = 512 * 1024  # bytes of what a process tells
-PARTS_MOST = 2  # an old process and a new one; further ones wait their turn with the platform
+MAX_STATE_BYTES = 512 * 1024  # bytes of what a process tells
+MAX_SHARING_PROCESSES = 2  # an old process and a new one; further ones wait their turn with the platform
 
 
 class Phase(Enum):
@@ -21,7 +21,7 @@
     ENDING = "ending"
 
 
-class Told(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class InstanceState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What a process tells of itself while it lives."""
 
     form: Literal["router 1"]
@@ -30,16 +30,16 @@
 
 
 def encode(phase: Phase, known: LearnedState) -> bytes:
-    return msgspec.json.encode(Told("router 1", phase, known))
+    return msgspec.json.encode(InstanceState("router 1", phase, known))
 
 
-def decode(data: bytes) -> Told:
+def decode(data: bytes) -> InstanceState:
     """ValueError, in one plain sentence, where it is none of ours."""
-    return read(data, Told, TOLD_MOST, "word of a router on itself")
+    return decode_json_file(data, InstanceState, MAX_STATE_BYTES, "word of a router on itself")
 
 
-def parts(own: Phase, others: Iterable[Phase]) -> int:
+def count_sharing_processes(own: Phase, others: Iterable[Phase]) -> int:
     """How many processes share the router's new sessions now: one that is told to end takes few more, one
     that does not serve yet takes none."""
     serving = sum(1 for one in (own, *others) if one is Phase.SERVING)
-    return max(1, min(serving, PARTS_MOST))
+    return max(1, min(serving, MAX_SHARING_PROCESSES))
--- a/tests/operations_guards.py
+++ b/tests/operations_guards.py
@@ -10,9 +10,9 @@
 from cloverhinge.decision.state import Limit, Server
 from cloverhinge.discovery.watch import DiscoveryWatch
 from cloverhinge.operations import component
-from cloverhinge.operations.command_server import Caller, Desk
-from cloverhinge.operations.instance_files import Beside
-from cloverhinge.operations.maintenance_file import Shelf
+from cloverhinge.operations.command_server import CommandConnection, CommandServer
+from cloverhinge.operations.instance_files import InstanceFiles
+from cloverhinge.operations.maintenance_file import MaintenanceFile
 from cloverhinge.rtsp import server_pool
 from cloverhinge.rtsp.front import Front
 
@@ -26,19 +26,19 @@
 
 
 def first_come() -> None:
-    up = Desk.up
+    add_pending = CommandServer.add_pending
 
-    def full(self: Desk, caller: Caller) -> None:
-        if len(self.waiting) >= self.most:
-            caller.drop()
+    def full(self: CommandServer, connection: CommandConnection) -> None:
+        if len(self.pending) >= self.max_pending:
+            connection.drop()
         else:
-            up(self, caller)
+            add_pending(self, connection)
 
-    Desk.up = full  # type: ignore[method-assign]
+    CommandServer.add_pending = full  # type: ignore[method-assign]
 
 
 def no_file() -> None:
-    Shelf.read = lambda self: None  # type: ignore[method-assign]
+    MaintenanceFile.read = lambda self: None  # type: ignore[method-assign]
 
 
 def old_list() -> None:
@@ -63,11 +63,11 @@
 
 
 def looks_once() -> None:
-    component.SHELF_MS = 1e9
+    component.POLL_INTERVAL_MS = 1e9
 
 
 def lives_for_good() -> None:
-    Beside._lives = lambda self, path: True  # type: ignore[method-assign]
+    InstanceFiles._is_locked = lambda self, path: True  # type: ignore[method-assign]
 
 
 def remembers() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -15,30 +15,30 @@
 from cloverhinge.decision.interface import Outcome
 from cloverhinge.decision.upgrade_overlap import divide_traffic, export_learned, import_learned, import_seats
 from cloverhinge.operations import commands, maintenance, overlap
-from cloverhinge.operations.maintenance import Bans, Record
-from cloverhinge.operations.metrics import Figures
+from cloverhinge.operations.maintenance import MaintenanceRecord, MaintenanceRegister
+from cloverhinge.operations.metrics import MetricsSnapshot
 from cloverhinge.operations.overlap import Phase
 from tests.helpers import BASE, Driver, actions_of
 from tests.test_core import Stand
 
 
-class Asked:
+class StubTarget:
     """The router as a call sees it."""
 
-    waits_for = ""
+    not_ready_reason = ""
 
     def __init__(self) -> None:
-        self.bans = Bans()
-        self.bans.names(["s-1", "s-2"])
+        self.maintenance = MaintenanceRegister()
+        self.maintenance.add_known_ids(["s-1", "s-2"])
 
-    def figures(self) -> Figures:
-        return Figures({}, 3, 2, len(self.bans.out))
+    def metrics(self) -> MetricsSnapshot:
+        return MetricsSnapshot({}, 3, 2, len(self.maintenance.active))
 
-    def known(self, name: str) -> bool:
-        return self.bans.known(name)
+    def is_known(self, name: str) -> bool:
+        return self.maintenance.is_known(name)
 
-    def leave_out(self, name: str, out: bool) -> bool:
-        return self.bans.tell(name, out, 1000.0)
+    def set_maintenance(self, name: str, active: bool) -> bool:
+        return self.maintenance.set_maintenance(name, active, 1000.0)
 
 
 @pytest.mark.parametrize(
@@ -57,37 +57,37 @@
     ],
 )
 def test_whatever_is_no_call_gets_one_plain_no(line: bytes) -> None:
-    said = commands.answer(line, Asked())
+    said = commands.execute(line, StubTarget())
     assert said.startswith("NAK ") and said.count("\n") == 1
 
 
 def test_calls_may_be_repeated_and_one_ends_a_ban() -> None:
-    router = Asked()
+    router = StubTarget()
     for _ in range(3):
-        assert commands.answer(b" maint-on s-1\r", router) == "ACK\n"
-    assert commands.answer(b"stats", router).splitlines() == [
+        assert commands.execute(b" maint-on s-1\r", router) == "ACK\n"
+    assert commands.execute(b"stats", router).splitlines() == [
         "ACK",
         "active=3",
         "pool_size=2",
         "pool_ejected=1",
         "--",
     ]
-    assert commands.answer(b"maint-off s-1", router) == "ACK\n" and not router.bans.out
-    router.waits_for = "starting"
-    assert commands.answer(b"status", router) == "NAK starting\n"
+    assert commands.execute(b"maint-off s-1", router) == "ACK\n" and not router.maintenance.active
+    router.not_ready_reason = "starting"
+    assert commands.execute(b"status", router) == "NAK starting\n"
 
 
 def test_bans_are_bounded_and_an_id_that_left_the_list_stays_known(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(maintenance, "BANS_MOST", 2)
-    monkeypatch.setattr(maintenance, "RECORDS_MOST", 4)
-    monkeypatch.setattr(maintenance, "NAMES_MOST", 3)
-    held = Bans()
-    assert [held.tell(f"s-{n}", True, float(n)) for n in range(3)] == [True, True, False]
+    monkeypatch.setattr(maintenance, "MAX_IN_MAINTENANCE", 2)
+    monkeypatch.setattr(maintenance, "MAX_RECORDS", 4)
+    monkeypatch.setattr(maintenance, "MAX_KNOWN_IDS", 3)
+    held = MaintenanceRegister()
+    assert [held.set_maintenance(f"s-{n}", True, float(n)) for n in range(3)] == [True, True, False]
     for n in range(50):
-        held.tell(f"t-{n}", False, float(n))
-    assert len(held.records) <= 4 and held.out == {"s-0", "s-1"}
-    held.names(f"u-{n}" for n in range(9))
-    assert list(held.listed) == ["u-6", "u-7", "u-8"] and held.known("s-0")
+        held.set_maintenance(f"t-{n}", False, float(n))
+    assert len(held.records) <= 4 and held.active == {"s-0", "s-1"}
+    held.add_known_ids(f"u-{n}" for n in range(9))
+    assert list(held.known_ids) == ["u-6", "u-7", "u-8"] and held.is_known("s-0")
 
 
 changes = st.lists(st.tuples(st.sampled_from("abc"), st.booleans(), st.integers(0, 5)), max_size=12)
@@ -97,16 +97,16 @@
 def test_two_processes_agree_in_whatever_order_they_hear(
     told: list[tuple[str, bool, int]], order: random.Random
 ) -> None:
-    one, other = Bans(), Bans()
+    one, other = MaintenanceRegister(), MaintenanceRegister()
     for name, out, at in told:
-        (one if order.random() < 0.5 else other).tell(name, out, float(at))
+        (one if order.random() < 0.5 else other).set_maintenance(name, out, float(at))
     mine, theirs = dict(one.records), maintenance.decode(other.encode())
     one.merge(theirs, 10.0)
     for name in order.sample(sorted(mine), len(mine)):
         other.merge({name: mine[name]}, 10.0)
-    assert one.records == other.records and one.out == other.out
-    assert one.out == {name for name, record in one.records.items() if record.out}
-    assert not one.lacking(other.records) and not other.lacking(one.records)
+    assert one.records == other.records and one.active == other.active
+    assert one.active == {name for name, record in one.records.items() if record.active}
+    assert not one.has_changes_for(other.records) and not other.has_changes_for(one.records)
 
 
 @pytest.mark.parametrize(
@@ -124,20 +124,20 @@
         maintenance.decode(data)
 
 
-class Person:
+class RecordingClient:
     """Counts what a viewer is told, as the oracle of the figures."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.outcomes: list[str] = []
 
     def served(self, answer: bytes) -> None:
-        self.told.append("ok")
+        self.outcomes.append("ok")
 
     def refused(self, hold_off_ms: float, ticket: str = "") -> None:
-        self.told.append("shed")
+        self.outcomes.append("shed")
 
     def failed(self, why: Outcome | None) -> None:
-        self.told.append("errors")
+        self.outcomes.append("errors")
 
     def released(self, cause: Cause) -> None: ...
     def presence(self) -> Presence:
@@ -157,12 +157,12 @@
     """Guards the figures over random lives: given up, late, released, answered twice, refused for room."""
     stand = Stand(cold_us=0)
     router, out = stand.router, stand.sent
-    people: list[tuple[str, Person, Request | None]] = []
+    people: list[tuple[str, RecordingClient, Request | None]] = []
     written: dict[str, int] = {"film": 0, "paid": 0}
     for number, (what, which) in enumerate(told):
         attempt = out[which % len(out)] if out else None
         if what == "ask":
-            kind, person = ("film", "paid")[which % 2], Person()
+            kind, person = ("film", "paid")[which % 2], RecordingClient()
             people.append(
                 (
                     kind,
@@ -195,14 +195,17 @@
                     attempt, {"full": Outcome.FULL, "error": Outcome.ERROR, "reset": Outcome.RESET}[what]
                 )
     for kind in written:
-        tally, heard = router.counters.tallies[kind], [x for k, p, _ in people if k == kind for x in p.told]
+        tally, heard = (
+            router.counters.tallies[kind],
+            [x for k, p, _ in people if k == kind for x in p.outcomes],
+        )
         assert (tally.ok, tally.shed, tally.errors, tally.tries) == (
             heard.count("ok"),
             heard.count("shed"),
             heard.count("errors"),
             written[kind],
         )
-    assert all(len(person.told) <= 1 for _, person, _ in people)
+    assert all(len(person.outcomes) <= 1 for _, person, _ in people)
 
 
 def test_a_box_left_out_by_hand_drains_whatever_the_list_says_and_comes_back_cold() -> None:
@@ -255,7 +258,7 @@
     ],
 )
 def test_how_many_share_the_routers_place(own: Phase, others: list[Phase], count: int) -> None:
-    assert overlap.parts(own, others) == count
+    assert overlap.count_sharing_processes(own, others) == count
 
 
 def test_the_new_process_takes_over_what_the_old_one_knows_better() -> None:
@@ -340,5 +343,7 @@
 
 
 def test_a_record_is_later_by_its_moment_and_a_ban_wins_at_the_same() -> None:
-    assert Record(2.0, False).later(Record(1.0, True)) and Record(1.0, True).later(Record(1.0, False))
-    assert not Record(1.0, False).later(Record(1.0, True))
+    assert MaintenanceRecord(2.0, False).supersedes(MaintenanceRecord(1.0, True)) and MaintenanceRecord(
+        1.0, True
+    ).supersedes(MaintenanceRecord(1.0, False))
+    assert not MaintenanceRecord(1.0, False).supersedes(MaintenanceRecord(1.0, True))
