--- a/cloverhinge/operations/command_server.py
+++ b/cloverhinge/operations/command_server.py
@@ -1,4 +1,4 @@
-"""The operators' door: one line a connection, one answer, then the end."""
+"""TCP server for operator commands: each connection sends one line, gets one answer and is closed."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
 from cloverhinge.net.buffered import BufferedReceiver
 from cloverhinge.operations.commands import MAX_LINE_BYTES, nak
 
-MAX_PENDING_CONNECTIONS = 16  # at a time
-IDLE_TIMEOUT_MS = 6000.0  # a caller without a whole call is let go then; some hold on for 4 s
+MAX_PENDING_CONNECTIONS = 16  # open connections that have not sent a whole command
+# A connection that has not sent a whole command by then is dropped; some clients keep one open for 4 s.
+IDLE_TIMEOUT_MS = 6000.0
 
 
 class CommandConnection(BufferedReceiver):
+    """One operator connection: reads a single command line, answers it and closes."""
+
     MAX_LENGTH = MAX_LINE_BYTES
     delimiter = b"\n"
 
@@ -37,6 +40,7 @@
         self.reply_and_close(nak("too long a line"))
 
     def reply_and_close(self, text: str) -> None:
+        """Send the answer and close; the connection no longer counts as pending."""
         self.server.remove_pending(self)
         self.send(text.encode())
         self.close()
@@ -48,6 +52,8 @@
 
 
 class CommandServer(ServerFactory):
+    """Accepts operator connections; `execute` turns a command line into its answer."""
+
     noisy = False
 
     def __init__(
@@ -57,20 +63,23 @@
         max_pending: int = MAX_PENDING_CONNECTIONS,
     ) -> None:
         self.execute, self.deadlines, self.max_pending = execute, deadlines, max_pending
-        self.pending: dict[
-            CommandConnection, None
-        ] = {}  # no whole call has come of them yet; the first to come first
+        # Connections that have not sent a whole command yet, oldest first.
+        self.pending: dict[CommandConnection, None] = {}
 
     def buildProtocol(self, addr: Any) -> CommandConnection:
         return CommandConnection(self)
 
     def add_pending(self, connection: CommandConnection) -> None:
-        """Guards against callers who hold connections and say nothing: the first of them makes room."""
+        """Register a new connection; if `max_pending` are registered already, the oldest is dropped.
+
+        Clients that hold connections open and send nothing thus cannot lock others out.
+        """
         if len(self.pending) >= self.max_pending:
-            first = next(iter(self.pending))
-            del self.pending[first]
-            first.drop()
+            oldest = next(iter(self.pending))
+            del self.pending[oldest]
+            oldest.drop()
         self.pending[connection] = None
 
     def remove_pending(self, connection: CommandConnection) -> None:
+        """Forget a connection that has sent its command or is closed; unknown ones are ignored."""
         self.pending.pop(connection, None)
--- a/cloverhinge/operations/commands.py
+++ b/cloverhinge/operations/commands.py
@@ -1,4 +1,4 @@
-"""A line of the staff's in, an answer out."""
+"""The operator command protocol: parses one command line and returns its answer."""
 
 from __future__ import annotations
 
@@ -7,28 +7,36 @@
 from cloverhinge.operations.maintenance import MAX_ID_LENGTH, MAX_IN_MAINTENANCE
 from cloverhinge.operations.metrics import MetricsSnapshot
 
-MAX_LINE_BYTES = 256  # bytes of a call: a word and an id
+MAX_LINE_BYTES = 256  # a command word and an ID
 COMMAND_LIST = "status, stats, maint-on ID, maint-off ID"
 
 
 class CommandTarget(Protocol):
-    """What a call may ask of the router and tell it."""
+    """The part of the router that operator commands read and change."""
 
     @property
     def not_ready_reason(self) -> str:
-        """Why it can't serve now, in words; none where it can."""
+        """Why the router cannot serve now, in words; empty if it can."""
 
-    def metrics(self) -> MetricsSnapshot: ...
+    def metrics(self) -> MetricsSnapshot:
+        """Counters and gauges at this moment."""
+        ...
 
     def is_known(self, name: str) -> bool:
-        """Whether a list has ever named this box."""
+        """Whether a list has ever named this media server."""
 
     def set_maintenance(self, name: str, active: bool) -> bool:
-        """Leave a box out or put it back.  False where no more can be left out."""
+        """Start or end a media server's maintenance mode.
+
+        False if too many media servers are in maintenance mode already.
+        """
 
 
 def execute(line: bytes, target: CommandTarget) -> str:
-    """The answer to one call, with all its lines ended.  Says no to whatever is no call."""
+    """Execute one command line and return its answer, each line of which ends with a newline.
+
+    Anything that is not a valid command, non-ASCII bytes included, is answered with NAK and a reason.
+    """
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
@@ -52,5 +60,6 @@
     return nak(f"known calls: {COMMAND_LIST}")
 
 
-def nak(why: str) -> str:
-    return f"NAK {why}\n"
+def nak(reason: str) -> str:
+    """A negative answer."""
+    return f"NAK {reason}\n"
--- a/cloverhinge/operations/component.py
+++ b/cloverhinge/operations/component.py
@@ -1,4 +1,4 @@
-"""Joins the staff's calls to the router: the listener, the file of bans, the source of the figures."""
+"""Connects operator commands to the router: listener, maintenance file, metrics, processes in an upgrade."""
 
 from __future__ import annotations
 
@@ -22,13 +22,19 @@
 from cloverhinge.operations.metrics import MetricsSnapshot
 from cloverhinge.operations.overlap import Phase, count_sharing_processes, encode
 
-POLL_INTERVAL_MS = (
-    100.0  # a call at the process beside this is obeyed so soon: less than half of the shortest grace
-)
-MAX_DESCRIPTOR_SHARE = 1 / 16  # of the descriptors at the most
+# Bounds how late a maintenance command given to the other process takes effect in this one; must be less than
+# half of the shortest grace period.
+POLL_INTERVAL_MS = 100.0
+MAX_DESCRIPTOR_SHARE = 1 / 16  # of the process's file descriptors, for pending command connections
 
 
 class OperationsComponent:
+    """Executes operator commands and coordinates with other processes that run under the same router name.
+
+    Files in `folder` carry the maintenance records and what each process has learned, so that an old and a
+    new process agree while both run.  Without a folder the process acts as if it were the only one.
+    """
+
     log = Logger()
     key = "operation"
 
@@ -42,23 +48,27 @@
         router: Router,
         deadlines: Deadlines,
     ) -> None:
+        """`command_address` is the host and port of the command listener, none if there is no such listener.
+
+        `sockets` is the number of file descriptors that the process may open.  The maintenance file is read
+        here, so that its entries apply before the router sends anything.
+        """
         self.reactor, self.name, self.command_address = reactor, name, command_address
         self.router, self.deadlines = router, deadlines
         self.maintenance = MaintenanceRegister()
         self.phase, self.sharing_processes = Phase.STARTING, 1
-        self.on_sharing_changed: Callable[[int], None] = (
-            lambda parts: None
-        )  # told how many share the router's place
+        # Called with the number of processes that share the router's new sessions.
+        self.on_sharing_changed: Callable[[int], None] = lambda processes: None
         self.maintenance_file: MaintenanceFile | None = None
         self.instance_files: InstanceFiles | None = None
         if folder is not None:
-            stem = f"cloverhinge-{re.sub(r'[^A-Za-z0-9_-]', '_', name)}"
+            file_prefix = f"cloverhinge-{re.sub(r'[^A-Za-z0-9_-]', '_', name)}"
             self.maintenance_file, self.instance_files = (
-                MaintenanceFile(folder / f"{stem}-bans.json"),
-                InstanceFiles(folder, stem),
+                MaintenanceFile(folder / f"{file_prefix}-bans.json"),
+                InstanceFiles(folder, file_prefix),
             )
             self._merge_file()  # before anything is sent
-        self.published = False  # of this process, to others
+        self.published = False  # whether this process has published its state
         self.command_server = CommandServer(
             lambda line: command_lines.execute(line, self),
             deadlines,
@@ -66,6 +76,7 @@
         )
 
     def start(self) -> None:
+        """Open the command listener and begin to poll the files."""
         if self.command_address is not None:
             port = self.reactor.listenTCP(
                 self.command_address[1], self.command_server, interface=self.command_address[0]
@@ -81,15 +92,18 @@
             self._poll_files()
 
     def begin_serving(self) -> None:
+        """The router is ready: `status` answers ACK, and this process takes its share of new sessions."""
         self._set_phase(Phase.SERVING)
 
     def begin_shutdown(self) -> None:
+        """SIGTERM has been received: `status` answers NAK, and the other process takes over new sessions."""
         self._set_phase(Phase.ENDING)
 
     def stop(self) -> None:
-        beside, self.instance_files = self.instance_files, None  # nothing more is told
-        if beside is not None:
-            beside.remove_own()
+        """Remove this process's files; nothing is published afterwards."""
+        instance_files, self.instance_files = self.instance_files, None
+        if instance_files is not None:
+            instance_files.remove_own()
 
     def _set_phase(self, phase: Phase) -> None:
         self.phase = phase
@@ -98,12 +112,15 @@
 
     @property
     def not_ready_reason(self) -> str:
+        """Why `status` is answered with NAK; empty while the router serves."""
         return {Phase.STARTING: "starting", Phase.SERVING: "", Phase.ENDING: "told to end"}[self.phase]
 
     def add_known_ids(self, names: Iterable[str]) -> None:
+        """Accept commands about these media servers from now on."""
         self.maintenance.add_known_ids(names)
 
     def status(self) -> dict[str, Any]:
+        """The component's part of the admin status, as JSON values."""
         return {
             "left_out": sorted(self.maintenance.active),
             "waits_for": self.not_ready_reason,
@@ -111,30 +128,38 @@
         }
 
     def commands(self) -> dict[str, Callable[[str], dict[str, Any]]]:
-        """The same calls for those who come to the admin socket."""
+        """The maintenance commands for the admin socket, by name; each takes a media server's ID."""
 
-        def call(word: str) -> Callable[[str], dict[str, Any]]:
-            return lambda about: {"answer": command_lines.execute(f"{word} {about}".encode(), self).strip()}
+        def command(word: str) -> Callable[[str], dict[str, Any]]:
+            return lambda argument: {
+                "answer": command_lines.execute(f"{word} {argument}".encode(), self).strip()
+            }
 
-        return {word: call(word) for word in ("maint-on", "maint-off")}
+        return {word: command(word) for word in ("maint-on", "maint-off")}
 
-    # What calls ask and tell
+    # Interface for operator commands (`commands.CommandTarget`)
 
     def metrics(self) -> MetricsSnapshot:
+        """The router's counters and gauges at this moment."""
         router = self.router
         servers, now_us = router.controller.fleet.servers, to_us(router.clock.now())
-        avoided = sum(
+        ejected = sum(
             1
             for number in router.listings
             if number in router.maintenance
             or (number in servers and servers[number].suspect_until_us > now_us)
         )
-        return MetricsSnapshot(router.counters.tallies, len(router.requests), len(router.listings), avoided)
+        return MetricsSnapshot(router.counters.tallies, len(router.requests), len(router.listings), ejected)
 
     def is_known(self, name: str) -> bool:
+        """Whether any list has named this media server, or it is in maintenance mode."""
         return self.maintenance.is_known(name)
 
     def set_maintenance(self, name: str, active: bool) -> bool:
+        """Start or end a media server's maintenance mode, and write that to the file.
+
+        False if too many media servers are in maintenance mode already; nothing has changed then.
+        """
         self._merge_file()
         now_ms, before = self.router.clock.now(), name in self.maintenance.active
         if not self.maintenance.set_maintenance(name, active, now_ms):
@@ -145,15 +170,19 @@
             self.maintenance_file.write(self.maintenance.encode())
         return True
 
-    # The file
+    # Files shared with the other process
 
     def _apply_changes(self, changed: dict[str, bool]) -> None:
-        for name, out in changed.items():
-            if out:
+        for name, active in changed.items():
+            if active:
                 self.router.start_maintenance(server_number(name), self.maintenance.records[name].changed_ms)
             else:
                 self.router.end_maintenance(server_number(name))
-            self.log.info("box {box}: {what}", box=name, what="left out by hand" if out else "put back")
+            self.log.info(
+                "media server {server} {change}",
+                server=name,
+                change="is in maintenance mode" if active else "has left maintenance mode",
+            )
 
     def _merge_file(self) -> None:
         records = None if self.maintenance_file is None else self.maintenance_file.read()
@@ -163,25 +192,25 @@
         if self.maintenance.has_changes_for(records):
             self.maintenance_file.write(self.maintenance.encode())
 
-    def _exchange_state(self, beside: InstanceFiles) -> None:
-        """What each process says of itself, and what that comes to for this one."""
-        others, router = beside.read_others(), self.router
+    def _exchange_state(self, instance_files: InstanceFiles) -> None:
+        """Publish this process's state, take over what others have learned, and adjust to their number."""
+        others, router = instance_files.read_others(), self.router
         if others or not self.published:
             self.published = True
-            beside.publish(encode(self.phase, export_learned(router.controller)))
+            instance_files.publish(encode(self.phase, export_learned(router.controller)))
         for other in others:
             if other is not None and other.known.servers:
                 import_learned(router.controller, to_us(router.clock.now()), other.known)
         import_seats(router.controller, (x.known for x in others if x is not None))
-        shared = count_sharing_processes(self.phase, (x.phase for x in others if x is not None))
-        if shared != self.sharing_processes:
-            self.sharing_processes = shared
-            divide_traffic(router.controller, router.settings, shared)
-            self.on_sharing_changed(shared)
+        sharing = count_sharing_processes(self.phase, (x.phase for x in others if x is not None))
+        if sharing != self.sharing_processes:
+            self.sharing_processes = sharing
+            divide_traffic(router.controller, router.settings, sharing)
+            self.on_sharing_changed(sharing)
             self.log.info(
-                "{name}: {parts} in this router's place",
+                "{name}: {processes} under this router's name",
                 name=self.name,
-                parts="another process serves" if shared > 1 else "no other process serves",
+                processes="another process is serving" if sharing > 1 else "no other process is serving",
             )
 
     def _poll_files(self) -> None:
--- a/cloverhinge/operations/file_formats.py
+++ b/cloverhinge/operations/file_formats.py
@@ -1,4 +1,4 @@
-"""How the files of operation are read."""
+"""Decoding of the JSON files of operations."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 
 
 def decode_json_file(data: bytes, form: type[T], max_bytes: int, description: str) -> T:
-    """The file's content.  ValueError, in one plain sentence, where it is longer than `most` bytes or no
-    `what`."""
+    """Decode a JSON file into `form`.
+
+    Raises ValueError with a one-sentence message if `data` is longer than `max_bytes` or does not fit `form`;
+    `description` says in that message what the file should have been.
+    """
     if len(data) > max_bytes:
-        raise ValueError(f"holds {len(data)} bytes, {max_bytes} at most")
+        raise ValueError(f"is {len(data)} bytes long, at most {max_bytes} are allowed")
     try:
         return msgspec.json.decode(data, type=form)
     except msgspec.MsgspecError as error:
-        raise ValueError(f"is no {description}: {error}") from None
+        raise ValueError(f"is not a valid {description}: {error}") from None
--- a/cloverhinge/operations/maintenance_file.py
+++ b/cloverhinge/operations/maintenance_file.py
@@ -1,4 +1,4 @@
-"""The file in `$TMPDIR` of the boxes left out, for the process beside this and the one that comes next."""
+"""The maintenance file in `$TMPDIR`, shared with a process of the same router and read by its successor."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MaintenanceFile:
-    """One file, replaced whole, so a reader finds the one before or the one after."""
+    """One file that is replaced atomically, so that a reader sees either the old content or the new one."""
 
     log = Logger()
 
@@ -20,33 +20,40 @@
         self._last_stat: tuple[int, int, int] | None = None
 
     def read(self) -> dict[str, MaintenanceRecord] | None:
-        """What it holds, where that may have changed since the last time; a bad file holds nothing."""
+        """The records of the file, or None if there is no file or it has not changed since the last read.
+
+        An unreadable or malformed file is logged and read as one without records.
+        """
         try:
-            told = os.stat(self.path)
+            status = os.stat(self.path)
         except FileNotFoundError:
             return None
         except OSError as error:
             return self._log_error(str(error.strerror))
-        seen = (told.st_ino, told.st_mtime_ns, told.st_size)
-        if seen == self._last_stat:
+        current = (status.st_ino, status.st_mtime_ns, status.st_size)
+        if current == self._last_stat:
             return None
-        self._last_stat = seen
+        self._last_stat = current
         try:
             with open(self.path, "rb") as file:
                 return decode(file.read(MAX_FILE_BYTES + 1))
         except (OSError, ValueError) as error:
             return self._log_error(str(error))
 
-    def _log_error(self, why: str) -> dict[str, MaintenanceRecord]:
-        self.log.error("{path}: {why}; what is in memory stays in force", path=str(self.path), why=why[:300])
+    def _log_error(self, reason: str) -> dict[str, MaintenanceRecord]:
+        self.log.error(
+            "{path}: {reason}; the entries in memory remain in force",
+            path=str(self.path),
+            reason=reason[:300],
+        )
         return {}
 
     def write(self, data: bytes) -> None:
-        """Whoever can't write goes on with what it has in memory."""
-        beside = self.path.with_suffix(f".{os.getpid()}")
+        """Replace the file; a failure is logged, and the entries in memory remain in force."""
+        temporary = self.path.with_suffix(f".{os.getpid()}")
         try:
-            with open(beside, "wb") as file:
+            with open(temporary, "wb") as file:
                 file.write(data)
-            os.replace(beside, self.path)
+            os.replace(temporary, self.path)
         except OSError as error:
-            self._log_error(f"can't be written: {error.strerror}")
+            self._log_error(f"cannot be written: {error.strerror}")
--- a/cloverhinge/operations/metrics.py
+++ b/cloverhinge/operations/metrics.py
@@ -1,4 +1,4 @@
-"""The figures that the staff read, and their form."""
+"""The metrics that operators read, and their text format."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsSnapshot:
-    """At one moment.  Counts are since the start of the process."""
+    """Metrics at one moment.  Counters count from the start of the process."""
 
-    tallies: dict[str, Tally]  # by class, as the settings name them
-    active: int  # requests taken and not ended
-    pool_size: int  # boxes in the list
-    pool_ejected: int  # of these, left out by hand or avoided by choice
+    tallies: dict[str, Tally]  # by class of service, under its name in the settings
+    active: int  # requests accepted and not ended
+    pool_size: int  # media servers in the list
+    pool_ejected: int  # of these, in maintenance mode or avoided as suspect
 
     def lines(self) -> Iterator[str]:
-        for name, one in self.tallies.items():
-            yield f"ok.{name}={one.ok}"
-            yield f"shed.{name}={one.shed}"
-            yield f"errors.{name}={one.errors}"
-            yield f"tries.{name}={one.tries}"
+        """One `name=value` line for each metric."""
+        for name, tally in self.tallies.items():
+            yield f"ok.{name}={tally.ok}"
+            yield f"shed.{name}={tally.shed}"
+            yield f"errors.{name}={tally.errors}"
+            yield f"tries.{name}={tally.tries}"
         yield f"active={self.active}"
         yield f"pool_size={self.pool_size}"
         yield f"pool_ejected={self.pool_ejected}"
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -112,11 +112,11 @@
 @pytest.mark.parametrize(
     "data,says",
     [
-        (b"", "is no file of bans"),
-        (b'{"form":"bans 2","records":{}}', "is no file of bans"),
-        (b'{"form":"bans 1","records":{"":[1,true]}}', "makes no sense"),
-        (b'{"form":"bans 1","records":{"a":[-1,true]}}', "makes no sense"),
-        (b"x" * 600_000, "at most"),
+        (b"", "is not a valid maintenance file"),
+        (b'{"form":"bans 2","records":{}}', "is not a valid maintenance file"),
+        (b'{"form":"bans 1","records":{"":[1,true]}}', "ID or time is out of range"),
+        (b'{"form":"bans 1","records":{"a":[-1,true]}}', "ID or time is out of range"),
+        (b"x" * 600_000, "bytes long, at most"),
     ],
 )
 def test_a_bad_file_is_one_plain_sentence(data: bytes, says: str) -> None:
--- a/tests/test_operations_network.py
+++ b/tests/test_operations_network.py
@@ -96,7 +96,7 @@
             viewer = later.connect()
             (file,) = tmp_path.glob("*-bans.json")
             file.write_text("{")
-            later.wait_for("is no file of bans")
+            later.wait_for("is not a valid maintenance file")
             for number in range(1, 5):
                 assert played(viewer, number, f"title-{number}").status == 200
             assert not pumps[0].setups
@@ -160,7 +160,7 @@
         assert played(kept, 1).status == 200
         new = old.successor()
         assert new.call("maint-on s-00000000") == ["ACK"]
-        old.wait_for("s-00000000: left out by hand")
+        old.wait_for("media server s-00000000 is in maintenance mode")
         before = len(pumps[0].setups)
         for number in range(2, 8):
             assert played(kept, number, f"title-{number}").status == 200  # on a connection of the old one
@@ -171,10 +171,10 @@
 def test_a_new_process_that_dies_leaves_the_old_one_alone_in_its_place(tmp_path: Path) -> None:
     with inherited(tmp_path) as (old, _, _log):
         new = old.successor()
-        old.wait_for("another process serves")
+        old.wait_for("another process is serving")
         new.process.kill()
         new.process.wait()
-        old.wait_for("no other process serves")
+        old.wait_for("no other process is serving")
         viewer = old.connect()
         assert played(viewer, 1).status == 200 and old.call("status") == ["ACK"]
 
