--- a/tests/operations_guards.py
+++ b/tests/operations_guards.py
@@ -1,4 +1,4 @@
-"""Guards of operation, each taken out by a few lines: see `tests.guards`."""
+"""Safety checks of operations, each disabled by a few lines: see `tests.guards`."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from cloverhinge.rtsp.front import Front
 
 
-def lists_decide() -> None:
+def ignore_maintenance() -> None:
     Router._apply_maintenance = lambda self, kind, told: iter(told)  # type: ignore[method-assign]
 
 
-def blocks() -> None:
+def block_on_accept() -> None:
     os.set_blocking = lambda handle, blocking: None
 
 
-def first_come() -> None:
+def refuse_newcomers() -> None:
     add_pending = CommandServer.add_pending
 
     def full(self: CommandServer, connection: CommandConnection) -> None:
@@ -37,44 +37,44 @@
     CommandServer.add_pending = full  # type: ignore[method-assign]
 
 
-def no_file() -> None:
+def read_no_file() -> None:
     MaintenanceFile.read = lambda self: None  # type: ignore[method-assign]
 
 
-def old_list() -> None:
+def skip_catch_up() -> None:
     DiscoveryWatch.when_caught_up = lambda self, call, most_ms: call()  # type: ignore[method-assign]
 
 
-def cuts_off() -> None:
+def close_at_once() -> None:
     def at_once(self: Front, now: float) -> int:
-        for line in self.connections:
-            line.close()
+        for connection in self.connections:
+            connection.close()
         return 0
 
     Front.close_at_rest = at_once  # type: ignore[method-assign]
 
 
-def hasty() -> None:
+def no_refusal_grace() -> None:
     server_pool.REFUSED_MS = 0.0
 
 
-def counted_twice() -> None:
+def book_as_new() -> None:
     Limit.book_existing = Limit.book  # type: ignore[method-assign]
 
 
-def looks_once() -> None:
+def poll_once() -> None:
     component.POLL_INTERVAL_MS = 1e9
 
 
-def lives_for_good() -> None:
+def locks_never_end() -> None:
     InstanceFiles._is_locked = lambda self, path: True  # type: ignore[method-assign]
 
 
-def remembers() -> None:
+def keep_learned_state() -> None:
     Server.reset = lambda self, now_us: None  # type: ignore[method-assign]
 
 
-def counts_leavers() -> None:
+def count_departures() -> None:
     leave = Router.viewer_left
 
     def counting(self: Router, request: Any) -> None:
@@ -85,51 +85,51 @@
 
 
 PURE, REAL = "tests/test_operations.py", "tests/test_operations_network.py"
-UPGRADE = f"{REAL}::test_a_new_version_takes_over_and_no_request_is_lost_twice_and_back"
+UPGRADE = f"{REAL}::test_repeated_upgrades_lose_no_request"
 GUARDS: dict[str, tuple[Callable[[], None], list[str]]] = {
-    "a ban lies over whatever the list says": (
-        lists_decide,
+    "maintenance mode overrides the list": (
+        ignore_maintenance,
         [
-            f"{REAL}::test_a_box_left_out_gets_nothing_new_over_lists_and_sighup_until_it_is_put_back",
-            f"{PURE}::test_a_box_left_out_by_hand_drains_whatever_the_list_says_and_comes_back_cold",
+            f"{REAL}::test_a_server_in_maintenance_gets_no_sessions_over_lists_and_sighup_until_it_ends",
+            f"{PURE}::test_a_server_in_maintenance_drains_whatever_the_list_says_and_returns_cold",
         ],
     ),
-    "a box put back begins anew": (
-        remembers,
-        [f"{PURE}::test_a_box_left_out_by_hand_drains_whatever_the_list_says_and_comes_back_cold"],
+    "a server returns from maintenance without its learned state": (
+        keep_learned_state,
+        [f"{PURE}::test_a_server_in_maintenance_drains_whatever_the_list_says_and_returns_cold"],
     ),
-    "the inherited socket never blocks": (blocks, [UPGRADE]),
-    "a connection ends at a moment of rest": (cuts_off, [UPGRADE]),
-    "who says nothing makes room": (
-        first_come,
-        [f"{REAL}::test_callers_are_answered_beside_those_who_say_nothing"],
+    "the inherited socket never blocks": (block_on_accept, [UPGRADE]),
+    "a connection is closed when nothing is open on it": (close_at_once, [UPGRADE]),
+    "silent connections are dropped for new ones": (
+        refuse_newcomers,
+        [f"{REAL}::test_commands_are_answered_despite_silent_connections"],
     ),
-    "bans are read before anything is sent": (
-        no_file,
-        [f"{REAL}::test_bans_outlive_a_crash_and_a_bad_file_takes_none_from_memory"],
+    "the maintenance file is read before anything is sent": (
+        read_no_file,
+        [f"{REAL}::test_maintenance_survives_a_crash_and_a_malformed_file_removes_none_from_memory"],
     ),
-    "a ban called at the one process is read by the other": (
-        looks_once,
-        [f"{REAL}::test_a_ban_called_at_the_new_process_binds_the_old_one_too"],
+    "maintenance started at one process is read by the other": (
+        poll_once,
+        [f"{REAL}::test_maintenance_started_at_the_new_process_applies_to_the_old_one_too"],
     ),
-    "the list is caught up before a yes": (
-        old_list,
-        [f"{REAL}::test_a_new_process_hears_what_changed_since_its_configuration_before_it_says_yes"],
+    "the list is caught up before the process is ready": (
+        skip_catch_up,
+        [f"{REAL}::test_a_new_process_applies_list_changes_since_its_configuration_before_it_is_ready"],
     ),
-    "a process is there while it holds its lock": (
-        lives_for_good,
-        [f"{REAL}::test_a_new_process_that_dies_leaves_the_old_one_alone_in_its_place"],
+    "a process counts as running while it holds its lock": (
+        locks_never_end,
+        [f"{REAL}::test_the_old_process_serves_alone_after_the_new_one_has_died"],
     ),
-    "a refused connection alone cuts nothing": (
-        hasty,
+    "a refused connection alone ends no session": (
+        no_refusal_grace,
         ["tests/test_network.py::test_a_pump_that_takes_no_more_connections_keeps_its_sessions_for_a_while"],
     ),
-    "what is handed over stands in the load that was told": (
-        counted_twice,
-        [f"{PURE}::test_a_session_handed_over_is_not_counted_on_top_of_the_load_that_held_it"],
+    "sessions handed over are part of the reported load": (
+        book_as_new,
+        [f"{PURE}::test_a_session_handed_over_is_not_added_to_a_load_that_contains_it"],
     ),
-    "who has left stands under no count": (
-        counts_leavers,
-        [f"{PURE}::test_each_request_stands_in_one_count_exactly_once"],
+    "a client that has left is not counted": (
+        count_departures,
+        [f"{PURE}::test_each_request_is_counted_under_exactly_one_outcome"],
     ),
 }
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""What the staff do, decided without I/O: calls, bans that merge, figures, two processes in one place."""
+"""Operator commands, merging of maintenance records, metrics and upgrade overlap, all without I/O."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class StubTarget:
-    """The router as a call sees it."""
+    """The router as operator commands see it."""
 
     not_ready_reason = ""
 
@@ -56,12 +56,12 @@
         b"help\x00",
     ],
 )
-def test_whatever_is_no_call_gets_one_plain_no(line: bytes) -> None:
-    said = commands.execute(line, StubTarget())
-    assert said.startswith("NAK ") and said.count("\n") == 1
+def test_an_invalid_command_is_answered_with_one_nak_line(line: bytes) -> None:
+    answer = commands.execute(line, StubTarget())
+    assert answer.startswith("NAK ") and answer.count("\n") == 1
 
 
-def test_calls_may_be_repeated_and_one_ends_a_ban() -> None:
+def test_commands_may_be_repeated_and_one_ends_the_maintenance() -> None:
     router = StubTarget()
     for _ in range(3):
         assert commands.execute(b" maint-on s-1\r", router) == "ACK\n"
@@ -77,29 +77,31 @@
     assert commands.execute(b"status", router) == "NAK starting\n"
 
 
-def test_bans_are_bounded_and_an_id_that_left_the_list_stays_known(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_maintenance_records_are_bounded_and_an_id_in_maintenance_stays_known(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(maintenance, "MAX_IN_MAINTENANCE", 2)
     monkeypatch.setattr(maintenance, "MAX_RECORDS", 4)
     monkeypatch.setattr(maintenance, "MAX_KNOWN_IDS", 3)
-    held = MaintenanceRegister()
-    assert [held.set_maintenance(f"s-{n}", True, float(n)) for n in range(3)] == [True, True, False]
+    register = MaintenanceRegister()
+    assert [register.set_maintenance(f"s-{n}", True, float(n)) for n in range(3)] == [True, True, False]
     for n in range(50):
-        held.set_maintenance(f"t-{n}", False, float(n))
-    assert len(held.records) <= 4 and held.active == {"s-0", "s-1"}
-    held.add_known_ids(f"u-{n}" for n in range(9))
-    assert list(held.known_ids) == ["u-6", "u-7", "u-8"] and held.is_known("s-0")
+        register.set_maintenance(f"t-{n}", False, float(n))
+    assert len(register.records) <= 4 and register.active == {"s-0", "s-1"}
+    register.add_known_ids(f"u-{n}" for n in range(9))
+    assert list(register.known_ids) == ["u-6", "u-7", "u-8"] and register.is_known("s-0")
 
 
 changes = st.lists(st.tuples(st.sampled_from("abc"), st.booleans(), st.integers(0, 5)), max_size=12)
 
 
 @given(changes, st.randoms(use_true_random=False))
-def test_two_processes_agree_in_whatever_order_they_hear(
-    told: list[tuple[str, bool, int]], order: random.Random
+def test_two_processes_agree_in_whatever_order_they_merge(
+    commands_given: list[tuple[str, bool, int]], order: random.Random
 ) -> None:
     one, other = MaintenanceRegister(), MaintenanceRegister()
-    for name, out, at in told:
-        (one if order.random() < 0.5 else other).set_maintenance(name, out, float(at))
+    for name, active, at_ms in commands_given:
+        (one if order.random() < 0.5 else other).set_maintenance(name, active, float(at_ms))
     mine, theirs = dict(one.records), maintenance.decode(other.encode())
     one.merge(theirs, 10.0)
     for name in order.sample(sorted(mine), len(mine)):
@@ -110,7 +112,7 @@
 
 
 @pytest.mark.parametrize(
-    "data,says",
+    "data,message",
     [
         (b"", "is not a valid maintenance file"),
         (b'{"form":"bans 2","records":{}}', "is not a valid maintenance file"),
@@ -119,13 +121,13 @@
         (b"x" * 600_000, "bytes long, at most"),
     ],
 )
-def test_a_bad_file_is_one_plain_sentence(data: bytes, says: str) -> None:
-    with pytest.raises(ValueError, match=says):
+def test_a_malformed_file_raises_a_one_sentence_error(data: bytes, message: str) -> None:
+    with pytest.raises(ValueError, match=message):
         maintenance.decode(data)
 
 
 class RecordingClient:
-    """Counts what a viewer is told, as the oracle of the figures."""
+    """Records what the client is answered, to be compared with the metrics."""
 
     def __init__(self) -> None:
         self.outcomes: list[str] = []
@@ -148,38 +150,38 @@
     def moved(self) -> None: ...
 
 
-happens = st.sampled_from(["ask", "serve", "full", "error", "reset", "wait", "leave", "over"])
-steps = st.lists(st.tuples(happens, st.integers(0, 7)), min_size=5, max_size=60)
+events = st.sampled_from(["ask", "serve", "full", "error", "reset", "wait", "leave", "over"])
+steps = st.lists(st.tuples(events, st.integers(0, 7)), min_size=5, max_size=60)
 
 
 @given(steps)
-def test_each_request_stands_in_one_count_exactly_once(told: list[tuple[str, int]]) -> None:
-    """Guards the figures over random lives: given up, late, released, answered twice, refused for room."""
+def test_each_request_is_counted_under_exactly_one_outcome(history: list[tuple[str, int]]) -> None:
+    """Metrics stay exact over random events: timeouts, late and repeated answers, refusals, departures."""
     stand = Stand(cold_us=0)
     router, out = stand.router, stand.sent
-    people: list[tuple[str, RecordingClient, Request | None]] = []
+    clients: list[tuple[str, RecordingClient, Request | None]] = []
     written: dict[str, int] = {"film": 0, "paid": 0}
-    for number, (what, which) in enumerate(told):
+    for number, (event, which) in enumerate(history):
         attempt = out[which % len(out)] if out else None
-        if what == "ask":
-            kind, person = ("film", "paid")[which % 2], RecordingClient()
-            people.append(
+        if event == "ask":
+            kind, client = ("film", "paid")[which % 2], RecordingClient()
+            clients.append(
                 (
                     kind,
-                    person,
+                    client,
                     router.open_request(
-                        SetUpRequest(f"{number:016x}", kind, f"t{which}", 0, 6, 2, 3000.0), person, stand
+                        SetUpRequest(f"{number:016x}", kind, f"t{which}", 0, 6, 2, 3000.0), client, stand
                     ),
                 )
             )
-        elif what == "wait":
+        elif event == "wait":
             stand.pass_ms(200.0 * (1 + which))
-        elif what == "leave" and people:
-            request = people[which % len(people)][2]
+        elif event == "leave" and clients:
+            request = clients[which % len(clients)][2]
             if request is not None:
                 router.viewer_left(request)
-        elif what == "over" and people:
-            request = people[which % len(people)][2]
+        elif event == "over" and clients:
+            request = clients[which % len(clients)][2]
             if request is not None and request.state is State.ESTABLISHED:
                 router.session_ended(request, Outcome.SERVED)
         elif attempt is not None:
@@ -187,37 +189,37 @@
             before = attempt.written
             if router.may_write(attempt) and not before:
                 written[attempt.request.service_class.name] += 1
-            if what == "serve":
+            if event == "serve":
                 router.answered(attempt, b"made")
                 router.answered(attempt, b"twice")
             else:
                 router.attempt_ended(
-                    attempt, {"full": Outcome.FULL, "error": Outcome.ERROR, "reset": Outcome.RESET}[what]
+                    attempt, {"full": Outcome.FULL, "error": Outcome.ERROR, "reset": Outcome.RESET}[event]
                 )
     for kind in written:
-        tally, heard = (
+        tally, outcomes = (
             router.counters.tallies[kind],
-            [x for k, p, _ in people if k == kind for x in p.outcomes],
+            [x for k, p, _ in clients if k == kind for x in p.outcomes],
         )
         assert (tally.ok, tally.shed, tally.errors, tally.tries) == (
-            heard.count("ok"),
-            heard.count("shed"),
-            heard.count("errors"),
+            outcomes.count("ok"),
+            outcomes.count("shed"),
+            outcomes.count("errors"),
             written[kind],
         )
-    assert all(len(person.outcomes) <= 1 for _, person, _ in people)
+    assert all(len(client.outcomes) <= 1 for _, client, _ in clients)
 
 
-def test_a_box_left_out_by_hand_drains_whatever_the_list_says_and_comes_back_cold() -> None:
+def test_a_server_in_maintenance_drains_whatever_the_list_says_and_returns_cold() -> None:
     stand = Stand()
     router, listed = stand.router, stand.listings
     router.start_maintenance(10, stand.clock.now())
     for kind in (api.ListKind.DELTA, api.ListKind.FULL):
-        router.update_fleet(kind, listed)  # the list names it as ready again
+        router.update_fleet(kind, listed)  # listed as ready again
         assert not router.sendable(10) and router.sendable(11)
     stand.told_of(10, api.Health.GONE)
     router.end_maintenance(10)
-    assert 10 not in router.listings  # the list has it no more
+    assert 10 not in router.listings  # no longer listed
     router.start_maintenance(10, stand.clock.now())
     router.update_fleet(api.ListKind.DELTA, listed[:1])
     assert not router.sendable(10)
@@ -233,10 +235,10 @@
     router.update_fleet(api.ListKind.DELTA, (replace(listed[0], started_us=started_us),))
     stand.pass_ms(6000.0)
     router.end_maintenance(10)
-    assert router.controller.fleet.servers[10].cold_since_us == started_us  # the list knows better
+    assert router.controller.fleet.servers[10].cold_since_us == started_us  # the listed start is later
 
 
-def test_an_attempt_that_waits_for_its_connection_is_not_sent_to_a_box_left_out_meanwhile() -> None:
+def test_an_attempt_that_waits_for_its_connection_is_not_sent_to_a_server_in_maintenance() -> None:
     stand = Stand(cold_us=0)
     router, _ = stand.router, stand.take()
     first = stand.sent.pop()
@@ -257,11 +259,11 @@
         (Phase.SERVING, [Phase.SERVING] * 4, 2),
     ],
 )
-def test_how_many_share_the_routers_place(own: Phase, others: list[Phase], count: int) -> None:
+def test_how_many_processes_share_new_sessions(own: Phase, others: list[Phase], count: int) -> None:
     assert overlap.count_sharing_processes(own, others) == count
 
 
-def test_the_new_process_takes_over_what_the_old_one_knows_better() -> None:
+def test_the_new_process_takes_over_newer_state_of_the_old_one() -> None:
     old, new = Driver(), Driver()
     old.report_load(10, link=0.8, uplink=0.4)
     old.play("t")
@@ -274,7 +276,7 @@
     assert mine[10].link.load == pytest.approx(0.8, abs=0.05)
     assert new.controller.tokens == old.controller.tokens
     assert mine[11].suspect_until_us == old.controller.fleet.servers[11].suspect_until_us
-    mine[10].link.load, mine[10].link.measured_us = 0.1, new.now_us  # heard by itself since
+    mine[10].link.load, mine[10].link.measured_us = 0.1, new.now_us  # its own newer report
     import_learned(new.controller, new.now_us, told)
     assert mine[10].link.load == 0.1
     divide_traffic(new.controller, replace(BASE, budget_free=4.0), 2)
@@ -284,7 +286,7 @@
     assert new.controller.settings == BASE
 
 
-def test_seats_that_the_other_process_has_given_out_are_taken() -> None:
+def test_seats_given_out_by_the_other_process_count_as_taken() -> None:
     old, new = Driver(), Driver()
     for _ in range(2):
         old.play("live", class_name="seated")
@@ -296,8 +298,8 @@
     assert actions_of(api.SetUp, new.request("live", class_name="seated")[1])
 
 
-def test_a_session_handed_over_is_not_counted_on_top_of_the_load_that_held_it() -> None:
-    """Guards against a step down of those who play, each time a new version takes them over."""
+def test_a_session_handed_over_is_not_added_to_a_load_that_contains_it() -> None:
+    """Guards against stepping down playing sessions each time that a new version takes them over."""
     drive = Driver()
     drive.report_load(10, link=0.7)
     drive.request(server=10)
@@ -307,8 +309,8 @@
     assert drive.controller.load_of(server.link) == pytest.approx(0.7) and server.link.booked == 400.0
 
 
-def test_a_first_report_that_is_older_than_the_last_word_of_a_hand_over_holds_all_of_it() -> None:
-    """Guards the first second after a start: half of the sessions stepped down at a load of 0.56."""
+def test_a_first_report_older_than_the_last_hand_over_update_contains_all_of_it() -> None:
+    """Guards the first second after a start: half of the sessions were stepped down at a load of 0.56."""
     drive = Driver()
     drive.request(server=10)
     link = drive.controller.fleet.servers[10].link
@@ -316,19 +318,18 @@
     drive.handle(
         api.AttemptEnded(99, 0, 10, api.Outcome.FULL, False, 1000, api.LoadReport(link=0.56)), 200_000
     )
-    assert link.measured_us < drive.now_us - 300_000  # taken to describe a moment before its rung was told
+    assert link.measured_us < drive.now_us - 300_000  # assumed to precede the rung report
     assert drive.controller.load_of(link) == pytest.approx(0.56)
     early = Driver()
     early.request(server=10)
     early.handle(api.LinkNote(early.last_session, 10, 0.1), 100_000)
-    early.handle(
-        api.LinkNote(early.last_session, 10, 0.1), 100_000
-    )  # describes a second ago, when none was here
+    # Describes a moment one second ago, before this process had any session.
+    early.handle(api.LinkNote(early.last_session, 10, 0.1), 100_000)
     assert early.controller.load_of(early.controller.fleet.servers[10].link) == pytest.approx(0.2)
 
 
-def test_hundreds_handed_over_at_once_walk_no_history() -> None:
-    """Guards the first second of a new version, which stood still for 1.2 s over a long history."""
+def test_hundreds_of_sessions_handed_over_at_once_scan_no_history() -> None:
+    """Guards against a stall in the first second of a new version: scanning a long history took 1.2 s."""
     drive = Driver()
     drive.report_load(10, link=0.2)
     link = drive.controller.fleet.servers[10].link
@@ -342,7 +343,7 @@
     assert drive.controller.load_of(link) == pytest.approx(0.2)
 
 
-def test_a_record_is_later_by_its_moment_and_a_ban_wins_at_the_same() -> None:
+def test_a_later_record_wins_and_at_the_same_time_maintenance_does() -> None:
     assert MaintenanceRecord(2.0, False).supersedes(MaintenanceRecord(1.0, True)) and MaintenanceRecord(
         1.0, True
     ).supersedes(MaintenanceRecord(1.0, False))
