--- a/cloverhinge/operations/instance_files.py
+++ b/cloverhinge/operations/instance_files.py
@@ -41,7 +41,7 @@
             )
 
     def publish(self, data: bytes) -> None:
-        """Replace the state file of this process; does nothing if it holds no lock."""
+        """Replace the state file of this process; does nothing if the lock file could not be opened."""
         if self.lock_fd is None:
             return
         try:
