--- a/cloverhinge/operations/commands.py
+++ b/cloverhinge/operations/commands.py
@@ -1,52 +1,65 @@
-"""A line of the staff's in, an answer out."""
+"""The operator command protocol: parses one command line and returns its answer."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from cloverhinge.operations.maintenance import BANS_MOST, NAME_MOST
-from cloverhinge.operations.metrics import Figures
+from cloverhinge.operations.maintenance import MAX_ID_LENGTH, MAX_IN_MAINTENANCE
+from cloverhinge.operations.metrics import MetricsSnapshot
 
-LINE_MOST = 256  # bytes of a call: a word and an id
-WORDS = "status, stats, maint-on ID, maint-off ID"
+MAX_LINE_BYTES = 256  # a command word and an ID
+COMMAND_LIST = "status, stats, maint-on ID, maint-off ID"
 
 
-class Router(Protocol):
-    """What a call may ask of the router and tell it."""
+class CommandTarget(Protocol):
+    """The part of the router that operator commands read and change."""
 
     @property
-    def waits_for(self) -> str:
-        """Why it can't serve now, in words; none where it can."""
+    def not_ready_reason(self) -> str:
+        """Why the router cannot serve now, in words; empty if it can."""
 
-    def figures(self) -> Figures: ...
+    def metrics(self) -> MetricsSnapshot:
+        """Counters and gauges at this moment."""
+        ...
 
-    def known(self, name: str) -> bool:
-        """Whether a list has ever named this box."""
+    def is_known(self, name: str) -> bool:
+        """Whether a list has ever named this media server."""
 
-    def leave_out(self, name: str, out: bool) -> bool:
-        """Leave a box out or put it back.  False where no more can be left out."""
+    def set_maintenance(self, name: str, active: bool) -> bool:
+        """Start or end a media server's maintenance mode.
 
+        False if too many media servers are in maintenance mode already.
+        """
 
-def answer(line: bytes, router: Router) -> str:
-    """The answer to one call, with all its lines ended.  Says no to whatever is no call."""
+
+def execute(line: bytes, target: CommandTarget) -> str:
+    """Execute one command line and return its answer, each line of which ends with a newline.
+
+    Anything that is not a valid command, non-ASCII bytes included, is answered with NAK and a reason.
+    """
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
         words = []
     match words:
         case ["status"]:
-            return no(router.waits_for) if router.waits_for else "ACK\n"
+            return nak(target.not_ready_reason) if target.not_ready_reason else "ACK\n"
         case ["stats"]:
-            return "".join(f"{x}\n" for x in ("ACK", *router.figures().lines(), "--"))
-        case ["maint-on" | "maint-off", name] if len(name) > NAME_MOST or not router.known(name):
-            return no("no such id was ever listed")
+            return "".join(f"{x}\n" for x in ("ACK", *target.metrics().lines(), "--"))
+        case ["maint-on" | "maint-off", name] if len(name) > MAX_ID_LENGTH or not target.is_known(name):
+            return nak("no such id was ever listed")
         case ["maint-on", name]:
-            return "ACK\n" if router.leave_out(name, True) else no(f"{BANS_MOST} are left out already")
+            return (
+                "ACK\n"
+                if target.set_maintenance(name, True)
+                else nak(f"{MAX_IN_MAINTENANCE} are left out already")
+            )
         case ["maint-off", name]:
-            router.leave_out(name, False)
+            target.set_maintenance(name, False)
             return "ACK\n"
-    return no(f"known calls: {WORDS}")
+    return nak(f"known calls: {COMMAND_LIST}")
 
 
-def no(why: str) -> str:
-    return f"NAK {why}\n"
+def nak(reason: str) -> str:
+    """A negative answer."""
+    return f"NAK {reason}\n"
