--- a/cloverhinge/admission/replicated_reservations.py
+++ b/cloverhinge/admission/replicated_reservations.py
@@ -42,7 +42,7 @@
 
         def answered(verdict: Verdict, work: Work | None) -> None:
             may_claim = verdict in (Verdict.NEW, Verdict.TAKEN_OVER)
-            callback(may_claim or verdict is Verdict.UNREPLICATED and self.ownership.site.serve)
+            callback(may_claim or verdict is Verdict.UNREPLICATED and self.ownership.site.serve_unreplicated)
 
         session = ReplicatedSession("", "", f"{reservation.viewer:x}")
         self.ownership.claim(
--- a/cloverhinge/cli.py
+++ b/cloverhinge/cli.py
@@ -59,8 +59,8 @@
             if options["members"]:
                 return console.show_members(admin)
             if options["custody"]:
-                return console.show_custody(admin, options["PLAY"])
-            return console.show(admin, options["--once"])
+                return console.show_ownership(admin, options["PLAY"])
+            return console.show_status(admin, options["--once"])
         node_config = config.read(options["CONFIG"]) if options["CONFIG"] else config.from_environment()
         path = Path(options["--site"])
         node_site = site.read(path) if path.exists() or options["--site"] != DEFAULT_SITE else site.Site()
@@ -86,15 +86,15 @@
         )
         print(
             "custody: off"
-            if node_site.custody is None
-            else f"custody: {node_site.custody.routers} routers, "
-            f"{node_site.custody.keepers} may be lost at once, "
-            f"without keepers it {'serves' if node_site.custody.serve else 'refuses'}"
+            if node_site.ownership is None
+            else f"custody: {node_site.ownership.routers} routers, "
+            f"{node_site.ownership.tolerated_losses} may be lost at once, "
+            f"without keepers it {'serves' if node_site.ownership.serve_unreplicated else 'refuses'}"
         )
         print(
             "door: off"
-            if node_site.door is None
-            else f"door: {len(node_site.door.clients) - 1} clients named, {node_site.door.waiting} may wait"
+            if node_site.admission is None
+            else f"door: {len(node_site.admission.clients) - 1} clients named, {node_site.admission.max_waiting} may wait"
         )
         return 0
     if node_site.members is not None and not node_config.name:
--- a/cloverhinge/hls/replicated_plays.py
+++ b/cloverhinge/hls/replicated_plays.py
@@ -11,13 +11,13 @@
 from twisted.internet.defer import Deferred
 
 from cloverhinge.core.model import Request, State
-from cloverhinge.hls.media_servers import HlsBoxes
-from cloverhinge.hls.plays import BUSY_MS, Final, Over, Play, Plays, PlayViewer
+from cloverhinge.hls.media_servers import HlsServers
+from cloverhinge.hls.plays import BUSY_RETRY_AFTER_MS, FetchFailed, Play, PlayClient, PlayEnded, Plays
 from cloverhinge.ownership.component import CLAIM_TIMEOUT_MS, OwnershipComponent
 from cloverhinge.ownership.model import Verdict
 from cloverhinge.ownership.register import Phase, Work
 from cloverhinge.ownership.replicated_work import ReplicatedSession
-from cloverhinge.site.model import HlsSite
+from cloverhinge.site.model import HlsSettings
 
 RECORD_PREFIX = "h"
 REPEATABLE_CLAIM_TIMEOUT_MS = 100.0  # for replicas to answer a repeatable claim, which is served without them
@@ -29,10 +29,12 @@
 class ReplicatedPlays:
     """Implements the plays' port to the ownership of their records, and `FrontAdapter` for the HLS front."""
 
-    def __init__(self, ownership: OwnershipComponent, plays: Plays, servers: HlsBoxes, site: HlsSite) -> None:
+    def __init__(
+        self, ownership: OwnershipComponent, plays: Plays, servers: HlsServers, site: HlsSettings
+    ) -> None:
         self.ownership, self.plays, self.servers, self.titles = ownership, plays, servers, site.titles
-        self.token_key = hashlib.sha256(b"cloverhinge play\0" + site.key).digest()
-        plays.custody = self
+        self.token_key = hashlib.sha256(b"cloverhinge play\0" + site.url_key).digest()
+        plays.ownership = self
         longest = max((x.length_ms for x in site.titles.values()), default=0.0)
         ownership.add_front(RECORD_PREFIX, self, site.idle_ms + longest)
 
@@ -49,7 +51,7 @@
         if record is not None and not record.hand_over_to and record.work.phase is Phase.INTENT:
             return
         if ownership.core.leaving:
-            raise Final(503, "this router ends, another one serves", BUSY_MS)
+            raise FetchFailed(503, "this router ends, another one serves", BUSY_RETRY_AFTER_MS)
         title = play.title
         deadline_ms = (
             ownership.clock.now()
@@ -59,12 +61,12 @@
         session = ReplicatedSession(
             play.class_name,
             play.title_name,
-            play.key,
+            play.play_id,
             first_cell=title.first_cell,
             copies=title.copies,
             ceiling=title.ceiling,
             length_ms=title.length_ms,
-            peer_address=play.peer,
+            peer_address=play.peer_address,
         )
         answer: Deferred[tuple[Verdict, Work | None]] = Deferred()
         ownership.claim(
@@ -78,15 +80,15 @@
         verdict, work = await answer
         if verdict is Verdict.FINAL and work is not None:
             if work.phase is Phase.OVER:
-                play.over = play.paid
-                raise Over
-            play.verdict = Final(502, "the set-up failed")
-            raise play.verdict
+                play.ended = play.paid
+                raise PlayEnded
+            play.final_failure = FetchFailed(502, "the set-up failed")
+            raise play.final_failure
         if verdict is Verdict.OWNED_ELSEWHERE:
-            raise Final(503, "another router has this play", BUSY_MS)
+            raise FetchFailed(503, "another router has this play", BUSY_RETRY_AFTER_MS)
         if verdict is Verdict.UNREPLICATED:
-            if play.paid and not ownership.site.serve:
-                raise Final(503, "it can't be kept by other routers now", BUSY_MS)
+            if play.paid and not ownership.site.serve_unreplicated:
+                raise FetchFailed(503, "it can't be kept by other routers now", BUSY_RETRY_AFTER_MS)
             ownership.remember(ownership.served_unreplicated, id)
 
     async def find(self, token: str) -> None:
@@ -101,7 +103,7 @@
             lambda verdict, work: answer.callback(verdict),
         )
         if await answer in (Verdict.OWNED_ELSEWHERE, Verdict.UNREPLICATED):
-            raise Final(503, "another router has this session", BUSY_MS)
+            raise FetchFailed(503, "another router has this session", BUSY_RETRY_AFTER_MS)
 
     def forgot(self, play: Play) -> None:
         """The front has forgotten the play: its record is over."""
@@ -124,14 +126,14 @@
         if title is None or session.class_name not in self.plays.router.classes:
             return False
         try:
-            play = self.plays.find(session.viewer_id, session.class_name, session.title, title)
-        except Final:
+            play = self.plays.find_or_add(session.viewer_id, session.class_name, session.title, title)
+        except FetchFailed:
             return False
         if play.request is not None and play.request.state is not State.OVER:
             return True
-        play.peer = play.peer or session.peer_address
+        play.peer_address = play.peer_address or session.peer_address
         play.request = self.ownership.adopt_session(
-            session.set_up_request(id), session, PlayViewer(self.plays, play), self.servers
+            session.set_up_request(id), session, PlayClient(self.plays, play), self.servers
         )
         self.plays.touch(play)
         return play.request is not None
@@ -141,7 +143,7 @@
         if play is not None:
             play.request = None
             self.plays.forget(play)
-            play.wake(Final(503, "another router has this play now", BUSY_MS))
+            play.wake_waiters(FetchFailed(503, "another router has this play now", BUSY_RETRY_AFTER_MS))
 
     def release_leftover(self, session: ReplicatedSession) -> None:
-        self.servers.let_go(session.server, session.session_id)
+        self.servers.release_session(session.server, session.session_id)
--- a/cloverhinge/node.py
+++ b/cloverhinge/node.py
@@ -26,11 +26,11 @@
 from cloverhinge.decision import interface as api
 from cloverhinge.discovery.updates import ListUpdate, ServerAddress
 from cloverhinge.discovery.watch import DiscoveryWatch
-from cloverhinge.operations.admin import Admin, snapshot
+from cloverhinge.operations.admin import AdminFactory, snapshot
 from cloverhinge.rtsp.front import RtspFrontend
 from cloverhinge.rtsp.media_servers import MediaServers
 from cloverhinge.shutdown import Hooks, Phase, Shutdown
-from cloverhinge.site import AcmeSite, HlsSite, Site
+from cloverhinge.site import AcmeSettings, HlsSettings, Site
 
 CATCH_UP_TIMEOUT_MS = (
     3000.0  # a change log that sends nothing for this long is not waited for; 6 s are allowed
@@ -114,12 +114,12 @@
         self.plays: Any = None  # of the HLS front, if it is on
         self.certificate_renewal: Any = None  # if certificates are obtained by ACME
         self.admission: Any = None  # if admission control is on
-        if site.door is not None:
+        if site.admission is not None:
             from cloverhinge.admission.gateway import (
                 AdmissionGateway,
             )  # loaded only if admission control is on
 
-            self.admission = AdmissionGateway(site.door, self.router, self.deadlines, config.seed)
+            self.admission = AdmissionGateway(site.admission, self.router, self.deadlines, config.seed)
             self.front.identify = self.admission.clients.identify
         self.components: list[Component] = []
         self.operations: Any = None  # if operator commands are on, or another process may share the listener
@@ -146,13 +146,13 @@
             )
             self.components.append(self.members)
         self.ownership: Any = None  # if sessions are replicated to other routers
-        if site.custody is not None:
+        if site.ownership is not None:
             # Loaded only where routers hold replicas of each other's work.
             from cloverhinge.ownership.component import OwnershipComponent
             from cloverhinge.rtsp.replicated_sessions import ReplicatedSessions
 
             self.ownership = OwnershipComponent(
-                site.custody,
+                site.ownership,
                 self.members,
                 self.router,
                 self.clock,
@@ -161,10 +161,10 @@
                 None if site.store is None else site.store.folder,
             )
             ReplicatedSessions(self.ownership, self.router, self.front, self.media_servers)
-            if self.admission is not None and site.door is not None:
+            if self.admission is not None and site.admission is not None:
                 from cloverhinge.admission.replicated_reservations import ReplicatedReservations
 
-                ReplicatedReservations(self.ownership, self.admission, site.door.quote_most_ms)
+                ReplicatedReservations(self.ownership, self.admission, site.admission.max_retry_after_ms)
             self.components.append(self.ownership)
         self.started_ms = self.clock.now()
 
@@ -209,7 +209,7 @@
             if self.operations is not None:
                 commands |= self.operations.commands()
             admin = reactor.listenTCP(
-                self.site.admin[1], Admin(self.status, commands), interface=self.site.admin[0]
+                self.site.admin[1], AdminFactory(self.status, commands), interface=self.site.admin[0]
             )
             self.log.info(
                 "{name}: admin on 127.0.0.1:{port}", name=self.config.name, port=admin.getHost().port
@@ -245,22 +245,22 @@
         )
         self.deadlines.after(PUBLISH_PERIOD_MS, self._publish)
 
-    def _start_hls(self, site: HlsSite, acme: AcmeSite | None) -> None:
+    def _start_hls(self, site: HlsSettings, acme: AcmeSettings | None) -> None:
         from cloverhinge.hls import front, plays  # loaded only if the HLS front is on
-        from cloverhinge.hls.media_servers import HlsBoxes
+        from cloverhinge.hls.media_servers import HlsServers
 
-        hls_servers = HlsBoxes(
+        hls_servers = HlsServers(
             reactor,
             self.router,
             self.deadlines,
             self.config.connect_ms,
             self.servers,
-            site.box_port,
-            site.boxes,
-            site.manifest_bytes,
+            site.server_port,
+            site.server_addresses,
+            site.max_manifest_bytes,
         )
         table = self.plays = plays.Plays(self.router, hls_servers, self.deadlines, site.idle_ms)
-        root = front.Front(
+        root = front.HlsFront(
             site,
             self.router,
             hls_servers,
@@ -273,7 +273,7 @@
 
             ReplicatedPlays(self.ownership, table, hls_servers, site)
         host, port = site.listen
-        http_factory = front.factory(root, self.config.sockets // 4, self.deadlines)
+        http_factory = front.make_factory(root, self.config.sockets // 4, self.deadlines)
         listener = reactor.listenTCP(port, http_factory, backlog=BACKLOG, interface=host)
         self.hls_listeners.append(listener)
         self.log.info(
@@ -286,8 +286,8 @@
         if acme is not None:
             self._start_acme(acme, http_factory)
 
-    def _start_acme(self, site: AcmeSite, http_factory: Any) -> None:
-        from cloverhinge.acme.renewal import Keeper
+    def _start_acme(self, site: AcmeSettings, http_factory: Any) -> None:
+        from cloverhinge.acme.renewal import CertificateRenewal
 
         def ready() -> None:
             if self.stopping:
@@ -307,7 +307,7 @@
                 port=listener.getHost().port,
             )
 
-        self.certificate_renewal = Keeper(
+        self.certificate_renewal = CertificateRenewal(
             site, self.deadlines, reactor.callFromThread, ready, random.Random(self.config.seed)
         )
         self.certificate_renewal.start()
@@ -321,7 +321,7 @@
         certificate = None
         if self.certificate_renewal is not None:
             certificate = {
-                "domains": list(self.certificate_renewal.site.domains),
+                "domains": list(self.certificate_renewal.settings.domains),
                 "expires_ms": self.certificate_renewal.expires_ms,
                 "error": self.certificate_renewal.error,
             }
--- a/cloverhinge/ownership/component.py
+++ b/cloverhinge/ownership/component.py
@@ -30,7 +30,7 @@
 from cloverhinge.ownership.register import Phase, Work
 from cloverhinge.ownership.replicated_work import ReplicatedSession, decode, encode
 from cloverhinge.ownership.wire import Member, name_of
-from cloverhinge.site.model import CustodySite
+from cloverhinge.site.model import OwnershipSettings
 from cloverhinge.store import Mark
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        site: CustodySite,
+        site: OwnershipSettings,
         members: MembershipTransport,
         router: Router,
         clock: Clock,
@@ -123,7 +123,11 @@
         """Opens the store, where there is one, and begins to take part in the ownership protocol."""
         own = Member(self.members.name, self.members.membership.run, self.members.site.site)
         rules = model.Rules(
-            self.site.keepers, self.site.lease_ms, self.site.routers, self.retention_ms, self.retention_ms
+            self.site.tolerated_losses,
+            self.site.lease_ms,
+            self.site.routers,
+            self.retention_ms,
+            self.retention_ms,
         )
         if self.store_folder is not None:
             # Loaded only where there is a folder: it needs apsw.
@@ -416,7 +420,7 @@
                 self.router.resume(request, session.server, session.answer)
             finally:
                 self._adopting = False
-        elif verdict is Verdict.UNREPLICATED and self.site.serve:
+        elif verdict is Verdict.UNREPLICATED and self.site.serve_unreplicated:
             self.remember(self.served_unreplicated, self._record_id(request))
             self.router.send(attempt)
         else:
--- a/tests/test_lab_ownership.py
+++ b/tests/test_lab_ownership.py
@@ -118,7 +118,7 @@
 
 
 def ownership_of(made: Rig, number: int, play_number: int) -> dict[str, Any]:
-    answer: dict[str, Any] = console.ask(made[number].ports["admin"], f"custody play-{play_number:08d}")
+    answer: dict[str, Any] = console.query(made[number].ports["admin"], f"custody play-{play_number:08d}")
     return answer
 
 
@@ -361,7 +361,7 @@
             made,
             "its prepared record is replicated",
             lambda: any(
-                console.ask(x.ports["admin"], f"custody {session}").get("found")
+                console.query(x.ports["admin"], f"custody {session}").get("found")
                 for x in made.routers
                 if x is not made[1]
             ),
--- a/tests/test_operations_network.py
+++ b/tests/test_operations_network.py
@@ -255,12 +255,12 @@
     deploy.write_text('[admin]\nlisten = "127.0.0.1:0"\n')
     with site(tmp_path, operated=True, deploy=deploy) as (program, _, _log):
         admin = "127.0.0.1", int(program.wait_for(r"admin on 127\.0\.0\.1:(\d+)")[1])
-        assert console.ask(admin, "maint-on s-00000000") == {"answer": "ACK"}
+        assert console.query(admin, "maint-on s-00000000") == {"answer": "ACK"}
         assert metrics(program)["pool_ejected"] == 1
-        assert "LEFT OUT BY HAND  s-00000000" in console.render(console.fetch(admin))
-        assert console.ask(admin, "maint-off s-9")["answer"].startswith("NAK")
+        assert "LEFT OUT BY HAND  s-00000000" in console.render_status(console.fetch_status(admin))
+        assert console.query(admin, "maint-off s-9")["answer"].startswith("NAK")
         assert program.call("maint-off s-00000000") == ["ACK"]
-        assert console.fetch(admin)["operation"]["left_out"] == []
+        assert console.fetch_status(admin)["operation"]["left_out"] == []
 
 
 def test_an_invalid_inherited_descriptor_fails_the_check(tmp_path: Path) -> None:
