--- a/benchmarks/custody.py
+++ b/benchmarks/custody.py
@@ -84,7 +84,7 @@
                     )
                 except AssertionError as error:
                     known = [
-                        (one, [console.ask(x.ports["admin"], f"custody play-{one:08d}") for x in others])
+                        (one, [console.query(x.ports["admin"], f"custody play-{one:08d}") for x in others])
                         for one in plays
                     ]
                     raise AssertionError(f"{known}\n{[custody_of(x) for x in others]}\n{error}") from None
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -28,15 +28,19 @@
 from benchmarks.world import Crowd, World, settings
 from cloverhinge.admission.gateway import AdmissionGateway
 from cloverhinge.core.model import SetUpRequest
-from cloverhinge.site import ClientSite, DoorSite
+from cloverhinge.site import AdmissionSettings, ClientSettings
 
 MAPLE, BIRCH = ip_network("10.1.0.0/16"), ip_network("10.2.0.0/16")
-DOOR = DoorSite(
+DOOR = AdmissionSettings(
     b"k" * 32,
     512,
     2048,
     60_000.0,
-    (ClientSite("maple", 1.0, (MAPLE,)), ClientSite("birch", 1.0, (BIRCH,)), ClientSite("others")),
+    (
+        ClientSettings("maple", 1.0, (MAPLE,)),
+        ClientSettings("birch", 1.0, (BIRCH,)),
+        ClientSettings("others"),
+    ),
 )
 
 
--- a/cloverhinge/acme/renewal.py
+++ b/cloverhinge/acme/renewal.py
@@ -16,25 +16,25 @@
 from twisted.logger import Logger
 from zope.interface import implementer
 
-from cloverhinge.acme.issue import Issued, issue, new_account_key
+from cloverhinge.acme.issue import IssuedCertificate, issue, new_account_key
 from cloverhinge.core.deadlines import Deadlines
-from cloverhinge.site import AcmeSite
+from cloverhinge.site import AcmeSettings
 
-RETRY_S = (60.0, 6 * 3600.0)  # pause after a failed order, doubled up to the second figure
-LIFE_SHARE = 2 / 3  # a certificate of short life is renewed after this part of it
+RETRY_DELAYS_S = (60.0, 6 * 3600.0)  # pause after a failed order, doubled up to the second figure
+RENEWAL_LIFETIME_FRACTION = 2 / 3  # a certificate of short life is renewed after this part of it
 
 
-def context_of(issued: Issued) -> tuple[Any, x509.Certificate]:
+def tls_context(issued: IssuedCertificate) -> tuple[Any, x509.Certificate]:
     """The TLS context for a certificate; raises ValueError where key and chain don't fit."""
     chain = x509.load_pem_x509_certificates(issued.chain_pem)
     key = KeyPair.load(issued.key_pem, 1)
     leaf = PrivateCertificate.fromCertificateAndKeyPair(Certificate.loadPEM(issued.chain_pem), key)
-    rest = [Certificate.loadPEM(one.public_bytes(_pem())).original for one in chain[1:]]
+    rest = [Certificate.loadPEM(one.public_bytes(_pem_encoding())).original for one in chain[1:]]
     options = CertificateOptions(privateKey=key.original, certificate=leaf.original, extraCertChain=rest)
     return options.getContext(), chain[0]
 
 
-def _pem() -> Any:
+def _pem_encoding() -> Any:
     from cryptography.hazmat.primitives.serialization import Encoding
 
     return Encoding.PEM
@@ -53,71 +53,71 @@
         return Connection(self.context, None)
 
 
-class Keeper:
+class CertificateRenewal:
     log = Logger()
 
     def __init__(
         self,
-        site: AcmeSite,
+        site: AcmeSettings,
         deadlines: Deadlines,
         call_from_thread: Callable[..., Any],
         ready: Callable[[], None],
         rng: random.Random,
     ) -> None:
         """`ready` is called once, when there is a first certificate."""
-        self.site, self.deadlines, self.rng = site, deadlines, rng
-        self.call_from_thread, self.ready = call_from_thread, ready
+        self.settings, self.deadlines, self.rng = site, deadlines, rng
+        self.call_from_thread, self.on_first_certificate = call_from_thread, ready
         self.live = LiveContext()
         self.proofs: dict[str, str] = {}
         self.expires_ms: float | None = None
         self.error = ""
         self.failures = 0
-        self.account: bytes | None = None
+        self.account_pem: bytes | None = None
 
     def start(self) -> None:
-        self.account = self._load("account.pem")
+        self.account_pem = self._load("account.pem")
         key, chain = self._load("key.pem"), self._load("chain.pem")
         if key and chain:
             try:
-                self._swap(Issued(key, chain))
+                self._swap(IssuedCertificate(key, chain))
             except Exception as error:  # whatever OpenSSL makes of a damaged file
                 self.log.warn("the kept certificate can't be used: {error}", error=repr(error)[:200])
         if self.expires_ms is None:
-            self._order()
+            self._start_order()
 
     # The order runs in a thread: the library's calls block, and the reactor must not wait for them.  It is a
     # daemon, so that an authority that stands still can't hold the program's end up.
 
-    def _order(self) -> None:
-        threading.Thread(target=self._work, name="acme", daemon=True).start()
+    def _start_order(self) -> None:
+        threading.Thread(target=self._run_order, name="acme", daemon=True).start()
 
-    def _work(self) -> None:
-        site = self.site
+    def _run_order(self) -> None:
+        site = self.settings
         try:
-            if self.account is None:
-                self.account = new_account_key()
-                self._keep("account.pem", self.account)
+            if self.account_pem is None:
+                self.account_pem = new_account_key()
+                self._save("account.pem", self.account_pem)
             issued = issue(
-                site.directory, site.domains, site.contact, site.ca_file, self.account, self.proofs
+                site.directory, site.domains, site.contact, site.ca_file, self.account_pem, self.proofs
             )
         except Exception as error:
             self.call_from_thread(self._failed, error)
         else:
             self.call_from_thread(self._issued, issued)
 
-    def _issued(self, issued: Issued) -> None:
+    def _issued(self, issued: IssuedCertificate) -> None:
         try:
             self._swap(issued)
         except Exception as error:
             return self._failed(error)
         self.failures, self.error = 0, ""
-        self._keep("key.pem", issued.key_pem)
-        self._keep("chain.pem", issued.chain_pem)
+        self._save("key.pem", issued.key_pem)
+        self._save("chain.pem", issued.chain_pem)
 
     def _failed(self, error: BaseException) -> None:
         """The old certificate stays; the next try comes later and later."""
         self.error = str(error)[:300]
-        pause_s = min(RETRY_S[0] * 2**self.failures, RETRY_S[1]) * self.rng.uniform(0.8, 1.2)
+        pause_s = min(RETRY_DELAYS_S[0] * 2**self.failures, RETRY_DELAYS_S[1]) * self.rng.uniform(0.8, 1.2)
         if self.expires_ms is not None:  # never later than halfway to the end of what is left
             left_s = (self.expires_ms - self.deadlines.clock.now()) / 1000.0
             pause_s = max(1.0, min(pause_s, left_s / 2)) if left_s > 0 else pause_s
@@ -125,10 +125,10 @@
         self.log.warn(
             "no certificate: {error}; next try in {pause} s", error=self.error, pause=round(pause_s)
         )
-        self.deadlines.after(pause_s * 1000.0, self._order)
+        self.deadlines.after(pause_s * 1000.0, self._start_order)
 
-    def _swap(self, issued: Issued) -> None:
-        context, leaf = context_of(issued)
+    def _swap(self, issued: IssuedCertificate) -> None:
+        context, leaf = tls_context(issued)
         now = self.deadlines.clock.now()
         begins = leaf.not_valid_before_utc.astimezone(UTC).timestamp() * 1000.0
         expires = leaf.not_valid_after_utc.astimezone(UTC).timestamp() * 1000.0
@@ -136,32 +136,35 @@
             raise ValueError("the certificate has expired")
         first = self.live.context is None
         self.live.context, self.expires_ms = context, expires
-        renew = max(expires - self.site.renew_before_s * 1000.0, begins + (expires - begins) * LIFE_SHARE)
-        self.deadlines.schedule(max(renew, now + 1000.0), self._order)
+        renew = max(
+            expires - self.settings.renew_before_s * 1000.0,
+            begins + (expires - begins) * RENEWAL_LIFETIME_FRACTION,
+        )
+        self.deadlines.schedule(max(renew, now + 1000.0), self._start_order)
         self.log.info(
             "certificate for {names}: good for {days} days",
-            names=", ".join(self.site.domains),
+            names=", ".join(self.settings.domains),
             days=round((expires - now) / 86_400_000.0, 1),
         )
         if first:
-            self.ready()
+            self.on_first_certificate()
 
     # What outlives a restart, where the site names a folder for it
 
     def _load(self, name: str) -> bytes | None:
-        if self.site.state is None:
+        if self.settings.state is None:
             return None
         try:
-            return (self.site.state / name).read_bytes()
+            return (self.settings.state / name).read_bytes()
         except OSError:
             return None
 
-    def _keep(self, name: str, data: bytes) -> None:
-        if self.site.state is None:
+    def _save(self, name: str, data: bytes) -> None:
+        if self.settings.state is None:
             return
-        path: Path = self.site.state / name
+        path: Path = self.settings.state / name
         try:
-            self.site.state.mkdir(parents=True, exist_ok=True)
+            self.settings.state.mkdir(parents=True, exist_ok=True)
             handle = os.open(path.with_suffix(".new"), os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
             with os.fdopen(handle, "wb") as file:
                 file.write(data)
--- a/cloverhinge/admission/clients.py
+++ b/cloverhinge/admission/clients.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 from ipaddress import ip_address
 
-from cloverhinge.site.model import ClientSite
+from cloverhinge.site.model import ClientSettings
 
 MAX_CACHED_PEERS = 4096  # addresses whose client is cached
 PROOF_LENGTH = 64  # hex digits of an HMAC-SHA256
@@ -23,7 +23,7 @@
 class Clients:
     """The clients of the site, numbered in their order; the last one is `others`."""
 
-    def __init__(self, sites: tuple[ClientSite, ...]) -> None:
+    def __init__(self, sites: tuple[ClientSettings, ...]) -> None:
         self.sites = sites
         self.by_name = {site.name: index for index, site in enumerate(sites)}
         networks = [(net, index) for index, site in enumerate(sites) for net in site.networks]
--- a/cloverhinge/admission/gateway.py
+++ b/cloverhinge/admission/gateway.py
@@ -23,7 +23,7 @@
 from cloverhinge.core.router import Router
 from cloverhinge.decision.capacity import spare_capacity
 from cloverhinge.decision.interface import Outcome
-from cloverhinge.site.model import DoorSite
+from cloverhinge.site.model import AdmissionSettings
 
 SHUTDOWN_RETRY_AFTER_MS = 1000.0  # sent while the program ends: a restart takes about as long
 POLL_INTERVAL_MS = 50.0  # while requests wait; short against the 600 ms reserved for a set-up
@@ -49,13 +49,15 @@
 
     log = Logger()
 
-    def __init__(self, site: DoorSite, router: Router, deadlines: Deadlines, seed: int) -> None:
+    def __init__(self, site: AdmissionSettings, router: Router, deadlines: Deadlines, seed: int) -> None:
         self.router, self.clock, self.deadlines = router, router.clock, deadlines
         self.settings = router.settings
         self.clients = Clients(site.clients)
-        if not site.key:
+        if not site.signing_key:
             self.log.info("door: no key is configured; reservation tokens are valid during this run only")
-        self.tokens = ReservationTokens(site.key or secrets.token_bytes(KEY_BYTES), site.quote_most_ms)
+        self.tokens = ReservationTokens(
+            site.signing_key or secrets.token_bytes(KEY_BYTES), site.max_retry_after_ms
+        )
         self.key = hashlib.blake2b(f"door {seed}".encode(), digest_size=32).digest()
         first_serial, last = int(self.clock.now()) << SERIAL_BITS, len(site.clients) - 1
         clients = [
@@ -64,8 +66,8 @@
                 entry.weight,
                 index == last,
                 ReservationTable(
-                    site.promises,
-                    site.promises // fair_queue.BUCKETS if index == last else site.promises,
+                    site.max_reservations,
+                    site.max_reservations // fair_queue.BUCKETS if index == last else site.max_reservations,
                     first_serial,
                 ),
             )
@@ -76,7 +78,12 @@
             for entry in self.settings.classes
         }
         self.queue = fair_queue.AdmissionQueue(
-            clients, classes, self.settings.cells, self._spare_capacity, site.waiting, site.quote_most_ms
+            clients,
+            classes,
+            self.settings.cells,
+            self._spare_capacity,
+            site.max_waiting,
+            site.max_retry_after_ms,
         )
         self.fleet_links_kb, self.fleet_places = 1.0, 1.0
         self.poll_timer: DeadlineKey | None = None
--- a/cloverhinge/admission/replicated_reservations.py
+++ b/cloverhinge/admission/replicated_reservations.py
@@ -40,7 +40,7 @@
 
         def answered(verdict: Verdict, work: Work | None) -> None:
             may_claim = verdict in (Verdict.NEW, Verdict.TAKEN_OVER)
-            callback(may_claim or verdict is Verdict.UNREPLICATED and self.part.site.serve)
+            callback(may_claim or verdict is Verdict.UNREPLICATED and self.part.site.serve_unreplicated)
 
         work_data = Kept("", "", f"{reservation.viewer:x}")
         self.part.claim(
--- a/cloverhinge/cli.py
+++ b/cloverhinge/cli.py
@@ -55,8 +55,8 @@
             if chosen["members"]:
                 return console.show_members(admin)
             if chosen["custody"]:
-                return console.show_custody(admin, chosen["PLAY"])
-            return console.show(admin, chosen["--once"])
+                return console.show_ownership(admin, chosen["PLAY"])
+            return console.show_status(admin, chosen["--once"])
         told = config.read(chosen["CONFIG"]) if chosen["CONFIG"] else config.from_environment()
         path = Path(chosen["--site"])
         around = site.read(path) if path.exists() or chosen["--site"] != DEFAULT_SITE else site.Site()
@@ -82,14 +82,16 @@
         )
         print(
             "custody: off"
-            if around.custody is None
-            else f"custody: {around.custody.routers} routers, {around.custody.keepers} may be lost at once, "
-            f"without keepers it {'serves' if around.custody.serve else 'refuses'}"
+            if around.ownership is None
+            else f"custody: {around.ownership.routers} routers, "
+            f"{around.ownership.tolerated_losses} may be lost at once, "
+            f"without keepers it {'serves' if around.ownership.serve_unreplicated else 'refuses'}"
         )
         print(
             "door: off"
-            if around.door is None
-            else f"door: {len(around.door.clients) - 1} clients named, {around.door.waiting} may wait"
+            if around.admission is None
+            else f"door: {len(around.admission.clients) - 1} clients named, "
+            f"{around.admission.max_waiting} may wait"
         )
         return 0
     if around.members is not None and not told.name:
--- a/cloverhinge/hls/front.py
+++ b/cloverhinge/hls/front.py
@@ -29,15 +29,17 @@
 from cloverhinge.decision.interface import Effect
 from cloverhinge.hls import manifests
 from cloverhinge.hls import media_servers as media
-from cloverhinge.hls.media_servers import HlsBoxes
-from cloverhinge.hls.plays import Final, Over, Play, Plays
-from cloverhinge.site import HlsSite
+from cloverhinge.hls.media_servers import HlsServers
+from cloverhinge.hls.plays import FetchFailed, Play, PlayEnded, Plays
+from cloverhinge.site import HlsSettings
 
 PLAY_ID = re.compile(r"[A-Za-z0-9._~-]{8,128}")
 IDLE_CONNECTION_S = 60
-REQUEST_MS = 8000.0  # a request is whole so long after its first byte, or its connection is cut; longer than
+REQUEST_TIMEOUT_MS = (
+    8000.0  # a request is whole so long after its first byte, or its connection is cut; longer than
+)
 # any set-up takes, as a request may come while the one before it waits for its answer
-BODY_MOST = 16 * 1024
+MAX_BODY_BYTES = 16 * 1024
 Answer = tuple[int, str, str, dict[str, str]]  # status, text, its type, further fields
 
 
@@ -45,7 +47,7 @@
     """Reads no more of a body than a message may hold; no fetch of this front needs one."""
 
     def gotLength(self, length: int | None) -> None:
-        if length is None or length > BODY_MOST:
+        if length is None or length > MAX_BODY_BYTES:
             transport: Any = self.channel.transport
             transport.abortConnection()
             length = 0
@@ -53,11 +55,11 @@
 
     def process(self) -> None:
         transport: Any = self.channel.transport
-        transport.whole()
+        transport.request_complete()
         super().process()  # type: ignore[no-untyped-call]
 
 
-def connected(request: Any) -> bool:
+def is_connected(request: Any) -> bool:
     """Whether the player of a fetch has its connection open, also where its end lies behind unread input."""
     if request._disconnected or request.channel is None:
         return False
@@ -66,71 +68,77 @@
     return not ended.poll(0)
 
 
-class Watched(ProtocolWrapper):
+class TimedConnection(ProtocolWrapper):
     """Guards against players that say nothing, or a request byte by byte: no byte renews the time."""
 
-    due: DeadlineKey | None = None
+    timeout_key: DeadlineKey | None = None
 
     def connectionMade(self) -> None:
-        self._arm()
+        self._start_timeout()
         super().connectionMade()  # type: ignore[no-untyped-call]
 
-    def _arm(self) -> None:
+    def _start_timeout(self) -> None:
         limited: Any = self.factory
-        self.due = limited.deadlines.after(REQUEST_MS, self.abortConnection)
+        self.timeout_key = limited.deadlines.after(REQUEST_TIMEOUT_MS, self.abortConnection)
 
-    def whole(self) -> None:
+    def request_complete(self) -> None:
         limited: Any = self.factory
-        limited.deadlines.cancel(self.due)
-        self.due = None
+        limited.deadlines.cancel(self.timeout_key)
+        self.timeout_key = None
 
     def dataReceived(self, data: bytes) -> None:
-        if self.due is None:
-            self._arm()
+        if self.timeout_key is None:
+            self._start_timeout()
         super().dataReceived(data)  # type: ignore[no-untyped-call]
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.whole()
+        self.request_complete()
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
 
-class Limited(WrappingFactory):
+class BoundedFactory(WrappingFactory):
     """Holds a bounded number of connections; over it, a new one is closed at once."""
 
     noisy = False
-    protocol = Watched
+    protocol = TimedConnection
 
-    def __init__(self, wrapped: Any, most: int, deadlines: Deadlines) -> None:
+    def __init__(self, wrapped: Any, max_connections: int, deadlines: Deadlines) -> None:
         super().__init__(wrapped)  # type: ignore[no-untyped-call]
-        self.most, self.deadlines = most, deadlines
+        self.max_connections, self.deadlines = max_connections, deadlines
 
     def buildProtocol(self, addr: Any) -> Any:
-        return None if len(self.protocols) >= self.most else super().buildProtocol(addr)
+        return None if len(self.protocols) >= self.max_connections else super().buildProtocol(addr)
 
 
-def factory(front: Front, most: int, deadlines: Deadlines) -> Limited:
+def make_factory(front: HlsFront, max_connections: int, deadlines: Deadlines) -> BoundedFactory:
     site = Site(front, requestFactory=BoundedRequest, timeout=IDLE_CONNECTION_S)
     site.noisy = False
-    return Limited(site, most, deadlines)
+    return BoundedFactory(site, max_connections, deadlines)
 
 
-class Front(Resource):
+class HlsFront(Resource):
     isLeaf = True
     log = Logger()
 
     def __init__(
         self,
-        site: HlsSite,
+        settings: HlsSettings,
         router: Router,
-        boxes: HlsBoxes,
+        servers: HlsServers,
         plays: Plays,
-        challenge: Callable[[str], str | None] = lambda token: None,
+        challenge_proof: Callable[[str], str | None] = lambda token: None,
         identify: Callable[[str, str, str, str], int] | None = None,
     ) -> None:
         """`identify` is the door's: peer, client, proof and play id to the client's number, or ValueError."""
         super().__init__()  # type: ignore[no-untyped-call]
         self.identify = identify
-        self.site, self.router, self.boxes, self.plays, self.challenge = site, router, boxes, plays, challenge
+        self.settings, self.router, self.servers, self.plays, self.challenge_proof = (
+            settings,
+            router,
+            servers,
+            plays,
+            challenge_proof,
+        )
 
     def render(self, request: Any) -> Any:
         if request.method != b"GET":
@@ -165,7 +173,7 @@
         for name, value in {
             "Content-Type": kind,
             "Cache-Control": "no-store",
-            "Access-Control-Allow-Origin": self.site.allow_origin,
+            "Access-Control-Allow-Origin": self.settings.allow_origin,
             **(fields or {}),
         }.items():
             request.setHeader(name.encode(), value.encode())
@@ -183,67 +191,69 @@
                 case ["session", token, number, name]:
                     return 200, await self._playlist(request, token, number, name), manifests.CONTENT_TYPE, {}
                 case [".well-known", "acme-challenge", token]:
-                    if (proof := self.challenge(token)) is not None:
+                    if (proof := self.challenge_proof(token)) is not None:
                         return 200, proof, "application/octet-stream", {}
-            raise Final(404, "nothing is here")
+            raise FetchFailed(404, "nothing is here")
         except UnicodeDecodeError:
             return 400, "the path is not ASCII\n", "text/plain", {}
-        except Final as final:
+        except FetchFailed as final:
             fields = {}
             if final.status == 503:
-                fields["Retry-After"] = str(max(1, math.ceil(final.retry_ms / 1000.0)))
+                fields["Retry-After"] = str(max(1, math.ceil(final.retry_after_ms / 1000.0)))
                 if self.identify is not None:
-                    fields["X-Hold-Off"] = str(math.ceil(final.retry_ms))
-                if final.ticket:
-                    fields["X-Ticket"] = final.ticket
-            return final.status, final.why + "\n", "text/plain", fields
+                    fields["X-Hold-Off"] = str(math.ceil(final.retry_after_ms))
+                if final.reservation_token:
+                    fields["X-Ticket"] = final.reservation_token
+            return final.status, final.reason + "\n", "text/plain", fields
 
     async def _play(self, request: Any, class_name: str, title_name: str) -> Answer:
-        kind, title = self.router.classes.get(class_name), self.site.titles.get(title_name)
+        kind, title = self.router.classes.get(class_name), self.settings.titles.get(title_name)
         if kind is None or title is None or (title.classes and class_name not in title.classes):
-            raise Final(404, "no such class or title")
-        told, words = request.args.get(b"play", []), self._words(request, "client", "proof", "ticket")
+            raise FetchFailed(404, "no such class or title")
+        told, words = request.args.get(b"play", []), self._query_values(request, "client", "proof", "ticket")
         if not told:
             if words[0] or words[1]:
-                raise Final(400, "a proof is made for a play id: ?play=ID&client=NAME&proof=HEX")
+                raise FetchFailed(400, "a proof is made for a play id: ?play=ID&client=NAME&proof=HEX")
             if kind.effect is not Effect.REPEATABLE:
-                raise Final(400, "a paid session needs a play id: ?play=ID")
+                raise FetchFailed(400, "a paid session needs a play id: ?play=ID")
             # Under an id of its own, so that the player's next fetch finds this session again.
             where = f"/play/{quote(class_name)}/{quote(title_name)}?play={secrets.token_hex(16)}"
             return 302, "", "text/plain", {"Location": where}
         key = told[0].decode("ascii", "replace")
         if len(told) != 1 or not PLAY_ID.fullmatch(key):
-            raise Final(400, "a play id is 8 to 128 letters, digits, '.', '_', '~' or '-'")
+            raise FetchFailed(400, "a play id is 8 to 128 letters, digits, '.', '_', '~' or '-'")
         peer, client = str(request.getClientAddress().host), -1
         if self.identify is not None:
             try:
                 client = self.identify(peer, words[0], words[1], key)
             except ValueError as error:
-                raise Final(403, str(error)) from None
-        play = self.plays.find(key, class_name, title_name, title)
-        play.peer, play.client, play.ticket = peer, client, words[2]
+                raise FetchFailed(403, str(error)) from None
+        play = self.plays.find_or_add(key, class_name, title_name, title)
+        play.peer_address, play.client_number, play.reservation_token = peer, client, words[2]
         self.plays.touch(play)
         return 200, await self._session(play, None, request), manifests.CONTENT_TYPE, {}
 
     @staticmethod
-    def _words(request: Any, *names: str) -> list[str]:
+    def _query_values(request: Any, *names: str) -> list[str]:
         """What the query says under names; where a name comes twice, nothing that fits."""
         told = [request.args.get(name.encode(), [b""]) for name in names]
         return ["?" if len(one) != 1 else one[0].decode("ascii", "replace") for one in told]
 
-    def sign(self, token: str, number: int) -> str:
-        return hmac.new(self.site.key, f"{token}/{number}".encode(), hashlib.sha256).hexdigest()[:32]
+    def playlist_signature(self, token: str, number: int) -> str:
+        return hmac.new(self.settings.signing_key, f"{token}/{number}".encode(), hashlib.sha256).hexdigest()[
+            :32
+        ]
 
     async def _playlist(self, request: Any, token: str, number: str, name: str) -> str:
         if not re.fullmatch(r"[0-9]{1,3}", number) or not name.endswith(".m3u8"):
-            raise Final(404, "nothing is here")
-        if not hmac.compare_digest(name.removesuffix(".m3u8"), self.sign(token, int(number))):
-            raise Final(403, "this address was not signed here")
-        if token not in self.plays.by_token and self.plays.custody is not None:
-            await self.plays.custody.find(token)
+            raise FetchFailed(404, "nothing is here")
+        if not hmac.compare_digest(name.removesuffix(".m3u8"), self.playlist_signature(token, int(number))):
+            raise FetchFailed(403, "this address was not signed here")
+        if token not in self.plays.by_token and self.plays.ownership is not None:
+            await self.plays.ownership.find(token)
         play = self.plays.by_token.get(token)
         if play is None:
-            raise Final(410, "this session is over")
+            raise FetchFailed(410, "this session is over")
         self.plays.touch(play)
         return await self._session(play, int(number), request)
 
@@ -251,42 +261,45 @@
         """The play's manifest, or its n-th media playlist, rendered from the list of boxes as it is now."""
         for _ in range(2):
             try:
-                request = await self.plays.stand(play, lambda: connected(fetch))
-                server, base = request.server or 0, self.boxes.base(request.server or 0) or ""
+                request = await self.plays.established_session(play, lambda: is_connected(fetch))
+                server, base = request.server or 0, self.servers.base_url(request.server or 0) or ""
                 url = f"{base}sessions/{request.set_up.session_id}"
-                if play.fresh is not None:
-                    play.manifest, play.fresh = manifests.parse(play.fresh, self.site.manifest_bytes), None
+                if play.set_up_answer is not None:
+                    play.manifest, play.set_up_answer = (
+                        manifests.parse(play.set_up_answer, self.settings.max_manifest_bytes),
+                        None,
+                    )
                     top = play.manifest
-                elif play.manifest is None or not (play.manifest.master or number is not None):
-                    top = play.manifest = await self.boxes.fetch(url)
+                elif play.manifest is None or not (play.manifest.is_multivariant or number is not None):
+                    top = play.manifest = await self.servers.fetch(url)
                 else:
                     top = play.manifest  # a multivariant playlist stays as it is while the session stands
-                cap = self._cap(play, request.rung)
+                cap = self._max_bandwidth(play, request.rung)
                 if number is not None:
                     url = self._playlist_url(top, number, url, cap)
-                    top = await self.boxes.fetch(url)
-                if not top.master:
-                    play.media = top
+                    top = await self.servers.fetch(url)
+                if not top.is_multivariant:
+                    play.media_playlist = top
                     self.plays.touch(play)
                 # The fetch took a while: the box may have been told draining or gone since.
                 if play.request is request and self.router.sendable(server):
-                    return manifests.rewrite(top, url, lambda n: self._address(play, n), cap)
-            except Over:
-                return manifests.ended(play.media)
-            except media.Gone:
+                    return manifests.rewrite(top, url, lambda n: self._playlist_path(play, n), cap)
+            except PlayEnded:
+                return manifests.ended_playlist(play.media_playlist)
+            except media.SessionGone:
                 if play.request is not None:
                     self.router.cut(play.request)
-            except (manifests.BadManifest, media.TooLong) as error:
-                raise Final(502, f"the box's manifest can't be used: {error}") from None
-            except media.Late:
-                raise Final(504, "the box gave no manifest in time") from None
-            except media.Unusable as error:
-                raise Final(502, str(error)) from None
-        if play.over:
-            return manifests.ended(play.media)
-        raise Final(503, "the session was lost", 1000.0)
-
-    def _cap(self, play: Play, rung: int | None) -> float:
+            except (manifests.BadManifest, media.AnswerTooLong) as error:
+                raise FetchFailed(502, f"the box's manifest can't be used: {error}") from None
+            except media.AnswerTimeout:
+                raise FetchFailed(504, "the box gave no manifest in time") from None
+            except media.UnusableAnswer as error:
+                raise FetchFailed(502, str(error)) from None
+        if play.ended:
+            return manifests.ended_playlist(play.media_playlist)
+        raise FetchFailed(503, "the session was lost", 1000.0)
+
+    def _max_bandwidth(self, play: Play, rung: int | None) -> float:
         """The highest rate in bits a second that may be named: that of the rung in force."""
         kind, ladder = self.router.classes[play.class_name], self.router.settings.ladder_kb
         return ladder[kind.floor if rung is None else rung] * kind.rate_scale * 8000.0 + 1.0
@@ -294,11 +307,11 @@
     def _playlist_url(self, master: manifests.Manifest, number: int, url: str, cap: float) -> str:
         """Where the n-th playlist lies; a variant over the rung in force gives way to the best under it."""
         if number >= len(master.renditions):
-            raise Final(404, "the manifest names no such playlist")
-        wanted, allowed = master.renditions[number], master.allowed(cap)
+            raise FetchFailed(404, "the manifest names no such playlist")
+        wanted, allowed = master.renditions[number], master.allowed_renditions(cap)
         if wanted not in allowed:
             wanted = max((x for x in allowed if x.bandwidth is not None), key=lambda x: x.bandwidth or 0)
-        return manifests.absolute(wanted.uri, url)
+        return manifests.absolute_uri(wanted.uri, url)
 
-    def _address(self, play: Play, number: int) -> str:
-        return f"/session/{play.token}/{number}/{self.sign(play.token, number)}.m3u8"
+    def _playlist_path(self, play: Play, number: int) -> str:
+        return f"/session/{play.token}/{number}/{self.playlist_signature(play.token, number)}.m3u8"
--- a/cloverhinge/hls/manifests.py
+++ b/cloverhinge/hls/manifests.py
@@ -13,13 +13,18 @@
 
 import m3u8
 
-MOST_BYTES = 256 * 1024
+MAX_BYTES = 256 * 1024
 CONTENT_TYPE = "application/vnd.apple.mpegurl"
 URI_ATTRIBUTE = re.compile(r'(?<=[:,])([A-Z0-9-]*URI)="([^"]*)"')
 BANDWIDTH = re.compile(r"(?<=[:,])BANDWIDTH=(\d+)")
-KEPT_SCHEMES = ("skd", "data", "urn")  # names that a player resolves without a server
+UNCHANGED_SCHEMES = ("skd", "data", "urn")  # names that a player resolves without a server
 # Steering would send the player past the router; the others belong to blocking reloads, which it has not.
-DROPPED = ("#EXT-X-CONTENT-STEERING:", "#EXT-X-SERVER-CONTROL:", "#EXT-X-RENDITION-REPORT:", "#EXT-X-SKIP:")
+DROPPED_TAGS = (
+    "#EXT-X-CONTENT-STEERING:",
+    "#EXT-X-SERVER-CONTROL:",
+    "#EXT-X-RENDITION-REPORT:",
+    "#EXT-X-SKIP:",
+)
 PLAYLIST_TAGS = ("#EXT-X-MEDIA:", "#EXT-X-I-FRAME-STREAM-INF:")
 
 
@@ -45,19 +50,19 @@
     next_sequence: int
 
     @property
-    def master(self) -> bool:
+    def is_multivariant(self) -> bool:
         return bool(self.renditions)
 
-    def allowed(self, cap: float) -> tuple[Rendition, ...]:
+    def allowed_renditions(self, max_bandwidth: float) -> tuple[Rendition, ...]:
         """What may be named under a cap in bits a second: the lowest variant in any case."""
         rates = [x.bandwidth for x in self.renditions if x.bandwidth is not None]
-        top = max(cap, min(rates, default=0))
+        top = max(max_bandwidth, min(rates, default=0))
         return tuple(x for x in self.renditions if x.bandwidth is None or x.bandwidth <= top)
 
 
-def parse(data: bytes, most: int = MOST_BYTES) -> Manifest:
-    if len(data) > most:
-        raise BadManifest(f"over {most} bytes")
+def parse(data: bytes, max_bytes: int = MAX_BYTES) -> Manifest:
+    if len(data) > max_bytes:
+        raise BadManifest(f"over {max_bytes} bytes")
     try:
         text = data.decode("utf-8-sig")
     except UnicodeDecodeError:
@@ -106,7 +111,7 @@
     return tuple(found.values())
 
 
-def absolute(uri: str, base: str) -> str:
+def absolute_uri(uri: str, base: str) -> str:
     """A URI of a box's manifest, which has to lead back to that box; `base` is where the manifest came from.
 
     Guards the drain rule: a manifest that names another box would keep it in use behind the router's back.
@@ -114,7 +119,7 @@
     if "{$" in uri or re.search(r'[\s"<>\\]', uri) or not uri:
         raise BadManifest(f"{uri[:80]!r} is no usable URI")
     try:
-        if urlsplit(uri).scheme in KEPT_SCHEMES:
+        if urlsplit(uri).scheme in UNCHANGED_SCHEMES:
             return uri
         full, home = urlsplit(urljoin(base, uri)), urlsplit(base)
     except ValueError:
@@ -124,19 +129,19 @@
     return full.geturl()
 
 
-def rewrite(manifest: Manifest, base: str, playlist: Callable[[int], str], cap: float) -> str:
+def rewrite(manifest: Manifest, base: str, playlist_url: Callable[[int], str], max_bandwidth: float) -> str:
     """The manifest for one session: playlists lead through the router, all else straight to the box."""
-    allowed = set(manifest.allowed(cap))
+    allowed = set(manifest.allowed_renditions(max_bandwidth))
     index = {one.uri: at for at, one in enumerate(manifest.renditions)}
     written: list[str] = []
     held: list[str] = []  # a variant's tag, until its URI tells whether it stays
 
     def place(uri: str) -> str:
-        absolute(uri, base)
-        return playlist(index[uri])
+        absolute_uri(uri, base)
+        return playlist_url(index[uri])
 
     for line in manifest.lines:
-        if line.startswith(DROPPED):
+        if line.startswith(DROPPED_TAGS):
             continue
         if line.startswith("#EXT-X-STREAM-INF:"):
             held.append(line)
@@ -147,9 +152,9 @@
             elif manifest.renditions[index[uri[2]]] in allowed:
                 written.append(line[: uri.start(2)] + place(uri[2]) + line[uri.end(2) :])
         elif line.startswith("#") or not line.strip():
-            written.append(URI_ATTRIBUTE.sub(lambda m: f'{m[1]}="{absolute(m[2], base)}"', line))
-        elif not manifest.master:
-            written.append(absolute(line.strip(), base))
+            written.append(URI_ATTRIBUTE.sub(lambda m: f'{m[1]}="{absolute_uri(m[2], base)}"', line))
+        elif not manifest.is_multivariant:
+            written.append(absolute_uri(line.strip(), base))
         else:
             if manifest.renditions[index[line.strip()]] in allowed:
                 written += [*held, place(line.strip())]
@@ -157,7 +162,7 @@
     return "\n".join(written).rstrip("\n") + "\n"
 
 
-def ended(manifest: Manifest | None) -> str:
+def ended_playlist(manifest: Manifest | None) -> str:
     """A playlist that names no box and tells the player that nothing follows."""
     target, sequence = (manifest.target_s, manifest.next_sequence) if manifest else (1, 0)
     return (
--- a/cloverhinge/hls/media_servers.py
+++ b/cloverhinge/hls/media_servers.py
@@ -35,36 +35,36 @@
 from cloverhinge.discovery.updates import ServerAddress
 from cloverhinge.hls import manifests
 
-FETCH_MS = 1500.0
-RELEASE_TRIES = 4
+FETCH_TIMEOUT_MS = 1500.0
+MAX_RELEASE_TRIES = 4
 RELEASE_PAUSE_MS = 250.0
-RELEASES_MOST = 512
-BODY_MOST = 16 * 1024  # of answers that hold no manifest
-REFUSALS = {503: Outcome.FULL, 504: Outcome.RESET}
+MAX_RELEASES = 512
+MAX_BODY_BYTES = 16 * 1024  # of answers that hold no manifest
+REFUSAL_OUTCOMES = {503: Outcome.FULL, 504: Outcome.RESET}
 
 
 class NotSent(Exception):
     """The attempt ended before its first byte was written."""
 
 
-class TooLong(Exception):
+class AnswerTooLong(Exception):
     """An answer is longer than this router reads."""
 
 
-class Late(Exception):
+class AnswerTimeout(Exception):
     """The box took too long."""
 
 
-class Gone(Exception):
+class SessionGone(Exception):
     """The box doesn't hold the session."""
 
 
-class Unusable(Exception):
+class UnusableAnswer(Exception):
     """The box gave no answer that can be used."""
 
 
 @implementer(IStreamClientEndpoint)
-class _Checked:
+class _CheckedEndpoint:
     """Asks `check` between the connection and the first byte on it."""
 
     def __init__(self, endpoint: Any, check: Callable[[], bool]) -> None:
@@ -81,21 +81,21 @@
 
 
 @implementer(IAgentEndpointFactory)
-class _Endpoints:
+class _CheckedEndpointFactory:
     def __init__(self, reactor: Any, connect_ms: float, check: Callable[[], bool]) -> None:
         self.reactor, self.connect_ms, self.check = reactor, connect_ms, check
 
     def endpointForURI(self, uri: Any) -> Any:
         target = TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, self.connect_ms / 1000.0)
-        return _Checked(target, self.check)
+        return _CheckedEndpoint(target, self.check)
 
 
 @implementer(IBodyProducer)
-class _Json:
+class _JsonBody:
     """A short body, written in one piece."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.data = json.dumps(told).encode()
+    def __init__(self, content: dict[str, Any]) -> None:
+        self.data = json.dumps(content).encode()
         self.length = len(self.data)
 
     def startProducing(self, consumer: Any) -> Deferred[None]:
@@ -112,11 +112,11 @@
         pass
 
 
-class _Body(Protocol):
+class _BodyReader(Protocol):
     """Reads a body of at most so many bytes."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.data = most, bytearray()
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes, self.data = max_bytes, bytearray()
         self.done: Deferred[bytes] = Deferred(lambda _: self.abort())
 
     def abort(self) -> None:
@@ -126,8 +126,8 @@
 
     def dataReceived(self, data: bytes) -> None:
         self.data += data
-        if len(self.data) > self.most and not self.done.called:
-            self.done.errback(TooLong())
+        if len(self.data) > self.max_bytes and not self.done.called:
+            self.done.errback(AnswerTooLong())
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -138,7 +138,7 @@
                 self.done.errback(reason)  # cut short: what was read is not whole
 
 
-class HlsBoxes:
+class HlsServers:
     """The core's `Boxes` over HTTP."""
 
     log = Logger()
@@ -149,28 +149,33 @@
         router: Router,
         deadlines: Deadlines,
         connect_ms: float,
-        boxes: dict[int, ServerAddress],
-        port: int,
-        named: dict[str, tuple[str, int]],
-        most: int,
+        servers: dict[int, ServerAddress],
+        default_port: int,
+        addresses_by_name: dict[str, tuple[str, int]],
+        max_bytes: int,
     ) -> None:
         self.reactor, self.router, self.deadlines, self.connect_ms = reactor, router, deadlines, connect_ms
-        self.boxes, self.port, self.named, self.most = boxes, port, named, most
+        self.servers, self.default_port, self.addresses_by_name, self.max_bytes = (
+            servers,
+            default_port,
+            addresses_by_name,
+            max_bytes,
+        )
         self.pool = HTTPConnectionPool(reactor, persistent=True)
         self.pool.maxPersistentPerHost, self.pool.cachedConnectionTimeout = 4, 10
-        endpoints = _Endpoints(reactor, connect_ms, lambda: True)
+        endpoints = _CheckedEndpointFactory(reactor, connect_ms, lambda: True)
         self.agent = Agent.usingEndpointFactory(reactor, endpoints, self.pool)
-        self.out: dict[Attempt, Deferred[None] | None] = {}
-        self.releasing = 0
+        self.open_attempts: dict[Attempt, Deferred[None] | None] = {}
+        self.open_releases = 0
 
-    def base(self, server: int) -> str | None:
-        box = self.boxes.get(server)
+    def base_url(self, server: int) -> str | None:
+        box = self.servers.get(server)
         if box is None:
             return None
-        host, port = self.named.get(box.name, (box.host, self.port))
+        host, port = self.addresses_by_name.get(box.name, (box.host, self.default_port))
         return f"http://{host}:{port}/"
 
-    async def _ask(
+    async def _exchange(
         self,
         agent: Any,
         method: str,
@@ -178,16 +183,16 @@
         told: dict[str, Any] | None,
         most: int,
     ) -> tuple[int, bytes]:
-        body = None if told is None else _Json(told)
+        body = None if told is None else _JsonBody(told)
         headers = Headers({b"User-Agent": [b"cloverhinge"]})
         if told is not None:
             headers.addRawHeader(b"Content-Type", b"application/json")
         response = await agent.request(method.encode(), url.encode(), headers, body)
-        reader = _Body(most)
+        reader = _BodyReader(most)
         response.deliverBody(reader)
         return response.code, await reader.done
 
-    def _limited(self, work: Any, ms: float) -> Deferred[Any]:
+    def _with_timeout(self, work: Any, ms: float) -> Deferred[Any]:
         """Run it as a Deferred that is cancelled after so long."""
         deferred: Deferred[Any] = ensureDeferred(work)
         late: list[bool] = []
@@ -201,7 +206,7 @@
         def stop(result: Any) -> Any:
             self.deadlines.cancel(key)
             if late and isinstance(result, Failure):
-                raise Late
+                raise AnswerTimeout
             return result
 
         return deferred.addBoth(stop)
@@ -209,14 +214,14 @@
     # Boxes
 
     def set_up(self, attempt: Attempt) -> None:
-        self.out[attempt] = None
+        self.open_attempts[attempt] = None
         work = ensureDeferred(self._set_up(attempt))
-        if attempt in self.out:
-            self.out[attempt] = work
+        if attempt in self.open_attempts:
+            self.open_attempts[attempt] = work
 
     async def _set_up(self, attempt: Attempt) -> None:
         request, ask = attempt.request, attempt.request.set_up
-        base = self.base(attempt.server)
+        base = self.base_url(attempt.server)
         try:
             if base is None:
                 raise NotSent
@@ -230,58 +235,60 @@
             }
             # A connection of its own, never one of the pool: one that the box has closed meanwhile would
             # leave open whether the set-up ran.
-            endpoints = _Endpoints(self.reactor, self.connect_ms, lambda: self.router.may_write(attempt))
+            endpoints = _CheckedEndpointFactory(
+                self.reactor, self.connect_ms, lambda: self.router.may_write(attempt)
+            )
             agent = Agent.usingEndpointFactory(self.reactor, endpoints)
-            status, body = await self._ask(agent, "PUT", url, told, self.most)
+            status, body = await self._exchange(agent, "PUT", url, told, self.max_bytes)
             if status != 200:
-                self.router.attempt_ended(attempt, REFUSALS.get(status, Outcome.ERROR))
+                self.router.attempt_ended(attempt, REFUSAL_OUTCOMES.get(status, Outcome.ERROR))
                 return
-            manifest = manifests.parse(body, self.most)
+            manifest = manifests.parse(body, self.max_bytes)
             manifests.rewrite(manifest, url, lambda n: "", float("inf"))
             if not self.router.answered(attempt, body):
-                self.let_go(attempt.server, ask.session_id)
+                self.release_session(attempt.server, ask.session_id)
         except NotSent:
             self.router.attempt_ended(attempt, Outcome.MOOT)
-        except (manifests.BadManifest, TooLong) as error:
+        except (manifests.BadManifest, AnswerTooLong) as error:
             # It stands at the box, but nobody can play it.
             self.log.warn("box {box}: {error}", box=attempt.server, error=str(error) or "manifest too long")
             self.router.attempt_ended(attempt, Outcome.ERROR)
-            self.let_go(attempt.server, ask.session_id)
+            self.release_session(attempt.server, ask.session_id)
         except Exception as error:  # whatever became of the connection
-            if attempt not in self.out:
+            if attempt not in self.open_attempts:
                 return  # given up, which broke it off: `give_up` has told the box
             self.log.info("box {box}: set-up broke: {error}", box=attempt.server, error=repr(error)[:200])
             self.router.attempt_ended(attempt, Outcome.RESET if attempt.written else Outcome.CONNECT_FAILED)
             if attempt.written:
-                self.let_go(attempt.server, ask.session_id)
+                self.release_session(attempt.server, ask.session_id)
         finally:
-            self.out.pop(attempt, None)
+            self.open_attempts.pop(attempt, None)
 
     def give_up(self, attempt: Attempt) -> None:
-        work = self.out.pop(attempt, None)
+        work = self.open_attempts.pop(attempt, None)
         if work is not None:
             work.cancel()
         if attempt.written:
-            self.let_go(attempt.server, attempt.request.set_up.session_id)
+            self.release_session(attempt.server, attempt.request.set_up.session_id)
 
     def release(self, request: Request, cause: Cause) -> None:
         if request.server is not None:
-            self.let_go(request.server, request.set_up.session_id)
+            self.release_session(request.server, request.set_up.session_id)
 
-    def let_go(self, server: int, name: str) -> None:
-        base = self.base(server)
-        if base is not None and self.releasing < RELEASES_MOST:
-            self.releasing += 1
-            self._limited(self._delete(f"{base}sessions/{name}"), 8000.0).addBoth(self._released)
+    def release_session(self, server: int, name: str) -> None:
+        base = self.base_url(server)
+        if base is not None and self.open_releases < MAX_RELEASES:
+            self.open_releases += 1
+            self._with_timeout(self._delete(f"{base}sessions/{name}"), 8000.0).addBoth(self._released)
 
     def _released(self, result: Any) -> None:
-        self.releasing -= 1
+        self.open_releases -= 1
 
     async def _delete(self, url: str) -> None:
-        for tried in range(RELEASE_TRIES):
+        for tried in range(MAX_RELEASE_TRIES):
             try:
-                asked = self._ask(self.agent, "DELETE", url, None, BODY_MOST)
-                status, _ = await self._limited(asked, FETCH_MS)
+                asked = self._exchange(self.agent, "DELETE", url, None, MAX_BODY_BYTES)
+                status, _ = await self._with_timeout(asked, FETCH_TIMEOUT_MS)
                 if status < 500:
                     return
             except Exception as error:
@@ -291,11 +298,11 @@
             await pause
 
     def set_rung(self, request: Request, rung: int) -> None:
-        base = self.base(request.server or 0)
+        base = self.base_url(request.server or 0)
         if base is not None:
             url = f"{base}sessions/{request.set_up.session_id}"
-            asked = self._ask(self.agent, "PATCH", url, {"rung": rung}, BODY_MOST)
-            self._limited(asked, FETCH_MS).addErrback(
+            asked = self._exchange(self.agent, "PATCH", url, {"rung": rung}, MAX_BODY_BYTES)
+            self._with_timeout(asked, FETCH_TIMEOUT_MS).addErrback(
                 lambda failure: self.log.info("rung: {error}", error=repr(failure.value)[:200])
             )
 
@@ -304,13 +311,15 @@
     async def fetch(self, url: str) -> manifests.Manifest:
         """A manifest as it is now; raises `Gone`, `Unusable`, `BadManifest`, or `Late`."""
         try:
-            status, body = await self._limited(self._ask(self.agent, "GET", url, None, self.most), FETCH_MS)
-        except (TooLong, Late):
+            status, body = await self._with_timeout(
+                self._exchange(self.agent, "GET", url, None, self.max_bytes), FETCH_TIMEOUT_MS
+            )
+        except (AnswerTooLong, AnswerTimeout):
             raise
         except Exception as error:
-            raise Unusable(f"{urlsplit(url).netloc}: {error!r}"[:200]) from None
+            raise UnusableAnswer(f"{urlsplit(url).netloc}: {error!r}"[:200]) from None
         if status in (404, 410):
-            raise Gone
+            raise SessionGone
         if status != 200:
-            raise Unusable(f"{urlsplit(url).netloc}: status {status}")
-        return manifests.parse(body, self.most)
+            raise UnusableAnswer(f"{urlsplit(url).netloc}: status {status}")
+        return manifests.parse(body, self.max_bytes)
--- a/cloverhinge/hls/replicated_plays.py
+++ b/cloverhinge/hls/replicated_plays.py
@@ -8,13 +8,13 @@
 from twisted.internet.defer import Deferred
 
 from cloverhinge.core.model import Request, State
-from cloverhinge.hls.media_servers import HlsBoxes
-from cloverhinge.hls.plays import BUSY_MS, Final, Over, Play, Plays, PlayViewer
+from cloverhinge.hls.media_servers import HlsServers
+from cloverhinge.hls.plays import BUSY_RETRY_AFTER_MS, FetchFailed, Play, PlayClient, PlayEnded, Plays
 from cloverhinge.ownership.component import SOON_MS, Part
 from cloverhinge.ownership.model import Verdict
 from cloverhinge.ownership.register import Phase, Work
 from cloverhinge.ownership.replicated_work import Kept
-from cloverhinge.site.model import HlsSite
+from cloverhinge.site.model import HlsSettings
 
 LETTER = "h"
 SHORT_MS = 100.0  # for keepers to answer a repeatable claim, which is served without them
@@ -26,10 +26,10 @@
 class KeptPlays:
     """The plays' `Custody`, and the front's side of it."""
 
-    def __init__(self, part: Part, plays: Plays, boxes: HlsBoxes, site: HlsSite) -> None:
+    def __init__(self, part: Part, plays: Plays, boxes: HlsServers, site: HlsSettings) -> None:
         self.part, self.plays, self.boxes, self.titles = part, plays, boxes, site.titles
-        self.key = hashlib.sha256(b"cloverhinge play\0" + site.key).digest()
-        plays.custody = self
+        self.key = hashlib.sha256(b"cloverhinge play\0" + site.signing_key).digest()
+        plays.ownership = self
         longest = max((x.length_ms for x in site.titles.values()), default=0.0)
         part.serve(LETTER, self, site.idle_ms + longest)
 
@@ -44,18 +44,18 @@
         if held is not None and not held.hand_over_to and held.work.phase is Phase.INTENT:
             return
         if part.core.leaving:
-            raise Final(503, "this router ends, another one serves", BUSY_MS)
+            raise FetchFailed(503, "this router ends, another one serves", BUSY_RETRY_AFTER_MS)
         title = play.title
         until = part.clock.now() + part.router.classes[play.class_name].deadline_us / 1000.0 - MARGIN_MS
         kept = Kept(
             play.class_name,
             play.title_name,
-            play.key,
+            play.play_id,
             first_cell=title.first_cell,
             copies=title.copies,
             ceiling=title.ceiling,
             length_ms=title.length_ms,
-            peer=play.peer,
+            peer=play.peer_address,
         )
         answer: Deferred[tuple[Verdict, Work | None]] = Deferred()
         part.claim(
@@ -69,15 +69,15 @@
         verdict, work = await answer
         if verdict is Verdict.FINAL and work is not None:
             if work.phase is Phase.OVER:
-                play.over = play.paid
-                raise Over
-            play.verdict = Final(502, "the set-up failed")
-            raise play.verdict
+                play.ended = play.paid
+                raise PlayEnded
+            play.final_failure = FetchFailed(502, "the set-up failed")
+            raise play.final_failure
         if verdict is Verdict.OWNED_ELSEWHERE:
-            raise Final(503, "another router has this play", BUSY_MS)
+            raise FetchFailed(503, "another router has this play", BUSY_RETRY_AFTER_MS)
         if verdict is Verdict.UNREPLICATED:
-            if play.paid and not part.site.serve:
-                raise Final(503, "it can't be kept by other routers now", BUSY_MS)
+            if play.paid and not part.site.serve_unreplicated:
+                raise FetchFailed(503, "it can't be kept by other routers now", BUSY_RETRY_AFTER_MS)
             part.note(part.unkept, id)
 
     async def find(self, token: str) -> None:
@@ -91,7 +91,7 @@
             lambda verdict, work: answer.callback(verdict),
         )
         if await answer in (Verdict.OWNED_ELSEWHERE, Verdict.UNREPLICATED):
-            raise Final(503, "another router has this session", BUSY_MS)
+            raise FetchFailed(503, "another router has this session", BUSY_RETRY_AFTER_MS)
 
     def forgot(self, play: Play) -> None:
         self.part.end(f"{LETTER}/{play.token}")
@@ -113,13 +113,13 @@
         if title is None or kept.class_name not in self.plays.router.classes:
             return False
         try:
-            play = self.plays.find(kept.key, kept.class_name, kept.title, title)
-        except Final:
+            play = self.plays.find_or_add(kept.key, kept.class_name, kept.title, title)
+        except FetchFailed:
             return False
         if play.request is not None and play.request.state is not State.OVER:
             return True
-        play.peer = play.peer or kept.peer
-        play.request = self.part.carry(kept.ask(id), kept, PlayViewer(self.plays, play), self.boxes)
+        play.peer_address = play.peer_address or kept.peer
+        play.request = self.part.carry(kept.ask(id), kept, PlayClient(self.plays, play), self.boxes)
         self.plays.touch(play)
         return play.request is not None
 
@@ -128,7 +128,7 @@
         if play is not None:
             play.request = None
             self.plays.forget(play)
-            play.wake(Final(503, "another router has this play now", BUSY_MS))
+            play.wake_waiters(FetchFailed(503, "another router has this play now", BUSY_RETRY_AFTER_MS))
 
     def let_go(self, kept: Kept) -> None:
-        self.boxes.let_go(kept.server, kept.name)
+        self.boxes.release_session(kept.server, kept.name)
--- a/cloverhinge/members/transport.py
+++ b/cloverhinge/members/transport.py
@@ -21,7 +21,7 @@
 from cloverhinge.core.clock import Clock
 from cloverhinge.core.deadlines import DeadlineKey, Deadlines
 from cloverhinge.members import core, wire
-from cloverhinge.site.model import MembersSite
+from cloverhinge.site.model import MembersSettings
 
 IDLE_TIMEOUT_MS = 1000.0  # a silent connection is closed then; it carries one request and its answer
 MAX_OUTGOING, MAX_INCOMING = 16, 16  # connections; with MAX_FRAME_BYTES this bounds their buffers to 16 MB
@@ -128,7 +128,7 @@
     transport: Any
 
     def __init__(
-        self, reactor: Any, site: MembersSite, name: str, clock: Clock, deadlines: Deadlines, seed: int
+        self, reactor: Any, site: MembersSettings, name: str, clock: Clock, deadlines: Deadlines, seed: int
     ) -> None:
         self.reactor, self.site, self.name, self.clock, self.deadlines = reactor, site, name, clock, deadlines
         self.authenticator = wire.Authenticator(site.keys)
--- a/cloverhinge/node.py
+++ b/cloverhinge/node.py
@@ -26,11 +26,11 @@
 from cloverhinge.decision import interface as api
 from cloverhinge.discovery.updates import ListUpdate, ServerAddress
 from cloverhinge.discovery.watch import DiscoveryWatch
-from cloverhinge.operations.admin import Admin, snapshot
+from cloverhinge.operations.admin import AdminFactory, snapshot
 from cloverhinge.rtsp.front import Front
 from cloverhinge.rtsp.media_servers import MediaServers
 from cloverhinge.shutdown import Hooks, Phase, Shutdown
-from cloverhinge.site import AcmeSite, HlsSite, Site
+from cloverhinge.site import AcmeSettings, HlsSettings, Site
 
 CATCH_UP_TIMEOUT_MS = 3000.0  # a change log that tells nothing for so long is not waited for; 6 s are given
 BACKLOG = 256
@@ -100,10 +100,10 @@
         self.plays: Any = None  # of the HLS front, where there is one
         self.certificate_renewal: Any = None  # of certificates
         self.admission: Any = None  # the door, where there is one
-        if site.door is not None:
+        if site.admission is not None:
             from cloverhinge.admission.gateway import AdmissionGateway  # loaded only where the door is wanted
 
-            self.admission = AdmissionGateway(site.door, self.router, self.deadlines, config.seed)
+            self.admission = AdmissionGateway(site.admission, self.router, self.deadlines, config.seed)
             self.front.identify = self.admission.clients.identify
         self.components: list[Component] = []
         self.operations: Any = None  # of the staff, where the platform tells of them
@@ -131,12 +131,12 @@
             )
             self.components.append(self.members)
         self.ownership: Any = None  # of work in hand, where it is wanted
-        if site.custody is not None:
+        if site.ownership is not None:
             from cloverhinge.ownership.component import Part as Custody  # loaded only where routers keep work
             from cloverhinge.rtsp.replicated_sessions import KeptSessions
 
             self.ownership = Custody(
-                site.custody,
+                site.ownership,
                 self.members,
                 self.router,
                 self.clock,
@@ -145,10 +145,10 @@
                 None if site.store is None else site.store.folder,
             )
             KeptSessions(self.ownership, self.router, self.front, self.media_servers)
-            if self.admission is not None and site.door is not None:
+            if self.admission is not None and site.admission is not None:
                 from cloverhinge.admission.replicated_reservations import ReplicatedReservations
 
-                ReplicatedReservations(self.ownership, self.admission, site.door.quote_most_ms)
+                ReplicatedReservations(self.ownership, self.admission, site.admission.max_retry_after_ms)
             self.components.append(self.ownership)
         self.started_ms = self.clock.now()
 
@@ -189,7 +189,7 @@
             if self.operations is not None:
                 commands |= self.operations.commands()
             admin = reactor.listenTCP(
-                self.site.admin[1], Admin(self.status, commands), interface=self.site.admin[0]
+                self.site.admin[1], AdminFactory(self.status, commands), interface=self.site.admin[0]
             )
             self.log.info(
                 "{name}: admin on 127.0.0.1:{port}", name=self.config.name, port=admin.getHost().port
@@ -222,22 +222,22 @@
         )
         self.deadlines.after(PUBLISH_PERIOD_MS, self._publish)
 
-    def _start_hls(self, site: HlsSite, acme: AcmeSite | None) -> None:
+    def _start_hls(self, site: HlsSettings, acme: AcmeSettings | None) -> None:
         from cloverhinge.hls import front, plays  # loaded only where the front is wanted
-        from cloverhinge.hls.media_servers import HlsBoxes
+        from cloverhinge.hls.media_servers import HlsServers
 
-        boxes = HlsBoxes(
+        boxes = HlsServers(
             reactor,
             self.router,
             self.deadlines,
             self.config.connect_ms,
             self.servers,
-            site.box_port,
-            site.boxes,
-            site.manifest_bytes,
+            site.server_port,
+            site.server_addresses,
+            site.max_manifest_bytes,
         )
         held = self.plays = plays.Plays(self.router, boxes, self.deadlines, site.idle_ms)
-        root = front.Front(
+        root = front.HlsFront(
             site,
             self.router,
             boxes,
@@ -250,7 +250,7 @@
 
             KeptPlays(self.ownership, held, boxes, site)
         host, port = site.listen
-        wired = front.factory(root, self.config.sockets // 4, self.deadlines)
+        wired = front.make_factory(root, self.config.sockets // 4, self.deadlines)
         web = reactor.listenTCP(port, wired, backlog=BACKLOG, interface=host)
         self.hls_listeners.append(web)
         self.log.info(
@@ -263,8 +263,8 @@
         if acme is not None:
             self._start_acme(acme, wired)
 
-    def _start_acme(self, site: AcmeSite, wired: Any) -> None:
-        from cloverhinge.acme.renewal import Keeper
+    def _start_acme(self, site: AcmeSettings, wired: Any) -> None:
+        from cloverhinge.acme.renewal import CertificateRenewal
 
         def ready() -> None:
             if self.stopping:
@@ -284,7 +284,7 @@
                 port=tls.getHost().port,
             )
 
-        self.certificate_renewal = Keeper(
+        self.certificate_renewal = CertificateRenewal(
             site, self.deadlines, reactor.callFromThread, ready, random.Random(self.config.seed)
         )
         self.certificate_renewal.start()
@@ -296,7 +296,7 @@
         certificate = None
         if self.certificate_renewal is not None:
             certificate = {
-                "domains": list(self.certificate_renewal.site.domains),
+                "domains": list(self.certificate_renewal.settings.domains),
                 "expires_ms": self.certificate_renewal.expires_ms,
                 "error": self.certificate_renewal.error,
             }
--- a/cloverhinge/operations/admin.py
+++ b/cloverhinge/operations/admin.py
@@ -18,8 +18,8 @@
 from cloverhinge.net.buffered import BufferedReceiver
 from cloverhinge.rtsp.media_servers import MediaServers
 
-SESSIONS_MOST = 100  # shown; the count is told in full
-LINES_MOST = 16  # connections at a time
+MAX_SESSIONS_SHOWN = 100  # shown; the count is told in full
+MAX_CONNECTIONS = 16  # connections at a time
 
 
 def snapshot(
@@ -39,7 +39,7 @@
         return None if limit.load is None else round(limit.load, 3)
 
     standing = [request for request in router.requests if request.state is State.ESTABLISHED]
-    shown = sorted(standing, key=lambda x: x.received_ms)[:SESSIONS_MOST]
+    shown = sorted(standing, key=lambda x: x.received_ms)[:MAX_SESSIONS_SHOWN]
     return {
         "name": name,
         "up_s": round((now - started_ms) / 1000.0, 1),
@@ -76,21 +76,21 @@
     }
 
 
-class AdminLine(BufferedReceiver):
+class AdminConnection(BufferedReceiver):
     MAX_LENGTH = 256
     delimiter = b"\n"
 
-    def __init__(self, admin: Admin) -> None:
+    def __init__(self, admin: AdminFactory) -> None:
         super().__init__()
         self.admin = admin
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.admin.count += 1
+        self.admin.connections += 1
 
     def connectionLost(self, reason: Any = None) -> None:
         self.gone = True
-        self.admin.count -= 1
+        self.admin.connections -= 1
 
     def pauseProducing(self) -> None:
         pass  # one answer may fill the transport's buffer; it is bounded by what it shows
@@ -106,7 +106,7 @@
         self.send(json.dumps(told).encode() + b"\n")
 
 
-class Admin(ServerFactory):
+class AdminFactory(ServerFactory):
     noisy = False
 
     def __init__(
@@ -114,7 +114,7 @@
         status: Callable[[], dict[str, Any]],
         commands: dict[str, Callable[[str], dict[str, Any]]] | None = None,
     ) -> None:
-        self.status, self.commands, self.count = status, commands or {}, 0
+        self.status, self.commands, self.connections = status, commands or {}, 0
 
-    def buildProtocol(self, addr: Any) -> AdminLine | None:
-        return AdminLine(self) if self.count < LINES_MOST else None
+    def buildProtocol(self, addr: Any) -> AdminConnection | None:
+        return AdminConnection(self) if self.connections < MAX_CONNECTIONS else None
--- a/cloverhinge/operations/console.py
+++ b/cloverhinge/operations/console.py
@@ -10,26 +10,30 @@
 from datetime import UTC, datetime
 from typing import Any, TextIO
 
-WAIT_S = 3.0
-PAUSE_S = 1.0
-ENTER, LEAVE, HOME = "\x1b[?1049h\x1b[?25l", "\x1b[?25h\x1b[?1049l", "\x1b[H"
+TIMEOUT_S = 3.0
+REFRESH_PERIOD_S = 1.0
+ENTER_ALTERNATE_SCREEN, LEAVE_ALTERNATE_SCREEN, CURSOR_HOME = (
+    "\x1b[?1049h\x1b[?25l",
+    "\x1b[?25h\x1b[?1049l",
+    "\x1b[H",
+)
 
 
 class ConsoleError(Exception):
     """One plain sentence on why there is nothing to show."""
 
 
-def ask(where: tuple[str, int], line: str) -> Any:
+def query(where: tuple[str, int], line: str) -> Any:
     try:
-        with socket.create_connection(where, WAIT_S) as link, link.makefile("rb") as answer:
+        with socket.create_connection(where, TIMEOUT_S) as link, link.makefile("rb") as answer:
             link.sendall(line.encode() + b"\n")
             return json.loads(answer.readline())
     except (OSError, ValueError) as error:
         raise ConsoleError(f"no router answers at {where[0]}:{where[1]}: {error}") from None
 
 
-def fetch(where: tuple[str, int]) -> dict[str, Any]:
-    told = ask(where, "status")
+def fetch_status(where: tuple[str, int]) -> dict[str, Any]:
+    told = query(where, "status")
     if not isinstance(told, dict) or "counters" not in told:
         raise ConsoleError(f"what answers at {where[0]}:{where[1]} is no router")
     return told
@@ -39,13 +43,13 @@
     return "-" if load is None else f"{load * 100:.0f}%"
 
 
-def plain(text: Any, width: int) -> str:
+def column(text: Any, width: int) -> str:
     """Cut to its column; ids and titles come from outside, so no control characters reach the terminal."""
     shown = "".join(c if c.isprintable() else "?" for c in str(text))
     return shown[:width].ljust(width)
 
 
-def render(told: dict[str, Any], height: int = 1000) -> list[str]:
+def render_status(told: dict[str, Any], height: int = 1000) -> list[str]:
     count = told["counters"]
     lines = [
         f"{told['name'] or 'cloverhinge'}   up {told['up_s']:.0f} s   {told['standing']} sessions, "
@@ -57,7 +61,7 @@
         + "   ".join(f"{name} {n}" for name, n in sorted(count["outcomes"].items())),
     ]
     if left_out := told.get("operation", {}).get("left_out"):
-        lines.append("LEFT OUT BY HAND  " + "   ".join(plain(x, len(str(x))) for x in left_out))
+        lines.append("LEFT OUT BY HAND  " + "   ".join(column(x, len(str(x))) for x in left_out))
     if told["broken"]:
         lines.append("DEFECTS  " + "   ".join(f"{name}: {n}" for name, n in told["broken"].items()))
     certificate = told["certificate"]
@@ -77,7 +81,7 @@
         ]
     for one in told["clients"]:
         lines.append(
-            f"{plain(one['name'], 16)}  {one['asked']:7}  {one['let_in']:7}  {one['waiting']:7}  "
+            f"{column(one['name'], 16)}  {one['asked']:7}  {one['let_in']:7}  {one['waiting']:7}  "
             f"{one['refused']:7}  {percent(one['share']):>5}  {percent(one['due']):>5}  "
             f"{one['quoted']:6}  {one['kept']:6}  {one['broken']:6}  {one['lost']:6}  "
             f"{one['unpromised']:10}"
@@ -85,7 +89,7 @@
     lines += ["", "BOX               ADDRESS                HEALTH    LINE  SESSIONS   LINK  UPLINK"]
     for box in told["boxes"]:
         lines.append(
-            f"{plain(box['name'], 16)}  {plain(box['address'], 21)}  {plain(box['health'], 8)}  "
+            f"{column(box['name'], 16)}  {column(box['address'], 21)}  {column(box['health'], 8)}  "
             f"{'up' if box['connected'] else 'down':4}  {box['sessions']:8}  "
             f"{percent(box['link']):>5}  {percent(box['uplink']):>6}"
         )
@@ -93,8 +97,8 @@
     for one in told["sessions"]:
         rung = "floor" if one["rung"] is None else str(one["rung"])
         lines.append(
-            f"{plain(one['id'], 16)}  {plain(one['class'], 16)}  {plain(one['title'], 16)}  "
-            f"{plain(one['box'], 16)}  {rung:>4}  {one['age_s']:5.0f} s"
+            f"{column(one['id'], 16)}  {column(one['class'], 16)}  {column(one['title'], 16)}  "
+            f"{column(one['box'], 16)}  {rung:>4}  {one['age_s']:5.0f} s"
         )
     if len(lines) > height:
         lines = [*lines[: height - 1], f"... {len(lines) - height + 1} lines more"]
@@ -116,64 +120,64 @@
     ]
     for one in of["list"]:
         heard, unheard = one["reach"]["heard_by"], one["reach"]["not_heard_by"]
-        state = plain(one["state"], 7)
+        state = column(one["state"], 7)
         lines.append(
-            f"{plain(one['name'], 16)}  {plain(one['site'], 16)}  {state}  {one['incarnation']:11}  "
+            f"{column(one['name'], 16)}  {column(one['site'], 16)}  {state}  {one['incarnation']:11}  "
             f"{one['since_ms'] / 1000:6.0f} s  {len(heard):3} of {len(heard) + len(unheard):<2} "
-            f"{plain(one['address'], 21).rstrip()}"
+            f"{column(one['address'], 21).rstrip()}"
         )
         if unheard:
-            lines.append(f"    not heard by {', '.join(plain(x, 64).rstrip() for x in unheard)}")
+            lines.append(f"    not heard by {', '.join(column(x, 64).rstrip() for x in unheard)}")
         if one["by"] and one["state"] != "alive":
-            lines.append(f"    {plain(one['by'], 256).rstrip()}")
+            lines.append(f"    {column(one['by'], 256).rstrip()}")
     return lines
 
 
 def show_members(where: tuple[str, int], out: TextIO = sys.stdout) -> int:
-    out.write("\n".join(render_members(fetch(where))) + "\n")
+    out.write("\n".join(render_members(fetch_status(where))) + "\n")
     return 0
 
 
-def render_custody(play: str, told: dict[str, Any]) -> list[str]:
+def render_ownership(play: str, told: dict[str, Any]) -> list[str]:
     """Where a play is, and who owned it before."""
     if "error" in told:
         raise ConsoleError("this router keeps no work: its site file has no table [custody]")
-    keepers = ", ".join(plain(x, 64).rstrip() for x in told["keepers"]) or "nobody yet"
+    keepers = ", ".join(column(x, 64).rstrip() for x in told["keepers"]) or "nobody yet"
     if not told["found"]:
-        return [f"{plain(play, 128).rstrip()}: not known here; if it is known, then to {keepers}"]
-    at = f" at {plain(told['box'], 64).rstrip()}" if told["box"] else ""
-    past = " <- ".join(plain(x, 64).rstrip() for x in reversed(told["past"]))
+        return [f"{column(play, 128).rstrip()}: not known here; if it is known, then to {keepers}"]
+    at = f" at {column(told['box'], 64).rstrip()}" if told["box"] else ""
+    past = " <- ".join(column(x, 64).rstrip() for x in reversed(told["past"]))
     return [
-        f"{plain(play, 128).rstrip()}: {told['class']} {told['title']}: {told['phase']}{at}"
+        f"{column(play, 128).rstrip()}: {told['class']} {told['title']}: {told['phase']}{at}"
         f"{' as session ' + told['session'] if told['session'] else ''}",
-        f"    owner {plain(told['owner'], 64).rstrip()}{' (this router)' if told['mine'] else ''}, "
+        f"    owner {column(told['owner'], 64).rstrip()}{' (this router)' if told['mine'] else ''}, "
         f"epoch {told['epoch']}{', before: ' + past if past else ''}",
         f"    kept by {keepers}",
     ]
 
 
-def show_custody(where: tuple[str, int], play: str, out: TextIO = sys.stdout) -> int:
-    out.write("\n".join(render_custody(play, ask(where, f"custody {play}"))) + "\n")
+def show_ownership(where: tuple[str, int], play: str, out: TextIO = sys.stdout) -> int:
+    out.write("\n".join(render_ownership(play, query(where, f"custody {play}"))) + "\n")
     return 0
 
 
-def show(where: tuple[str, int], once: bool, out: TextIO = sys.stdout) -> int:
+def show_status(where: tuple[str, int], once: bool, out: TextIO = sys.stdout) -> int:
     if once or not out.isatty():
-        out.write("\n".join(render(fetch(where))) + "\n")
+        out.write("\n".join(render_status(fetch_status(where))) + "\n")
         return 0
-    out.write(ENTER)
+    out.write(ENTER_ALTERNATE_SCREEN)
     try:
         while True:
             size = shutil.get_terminal_size()
             try:
-                lines = render(fetch(where), size.lines - 1)
+                lines = render_status(fetch_status(where), size.lines - 1)
             except ConsoleError as error:  # it may be starting again
                 lines = [str(error)]
-            out.write(HOME + "".join(f"{line[:size.columns]}\x1b[K\n" for line in lines) + "\x1b[J")
+            out.write(CURSOR_HOME + "".join(f"{line[:size.columns]}\x1b[K\n" for line in lines) + "\x1b[J")
             out.flush()
-            time.sleep(PAUSE_S)
+            time.sleep(REFRESH_PERIOD_S)
     except KeyboardInterrupt:
         return 0
     finally:
-        out.write(LEAVE)
+        out.write(LEAVE_ALTERNATE_SCREEN)
         out.flush()
--- a/cloverhinge/ownership/component.py
+++ b/cloverhinge/ownership/component.py
@@ -29,7 +29,7 @@
 from cloverhinge.ownership.register import Phase, Work
 from cloverhinge.ownership.replicated_work import Kept, encode, read
 from cloverhinge.ownership.wire import Member, name_of
-from cloverhinge.site.model import CustodySite
+from cloverhinge.site.model import OwnershipSettings
 from cloverhinge.store import Mark
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
 
     def __init__(
         self,
-        site: CustodySite,
+        site: OwnershipSettings,
         members: MembershipTransport,
         router: Router,
         clock: Clock,
@@ -114,7 +114,7 @@
     def start(self) -> None:
         own = Member(self.members.name, self.members.membership.run, self.members.site.site)
         rules = model.Rules(
-            self.site.keepers, self.site.lease_ms, self.site.routers, self.lasts_ms, self.lasts_ms
+            self.site.tolerated_losses, self.site.lease_ms, self.site.routers, self.lasts_ms, self.lasts_ms
         )
         if self.store is not None:
             from cloverhinge.ownership.replica_store import Shelf  # loaded only where there is a folder
@@ -379,7 +379,7 @@
                 self.router.resume(request, kept.server, kept.answer)
             finally:
                 self._adopting = False
-        elif verdict is Verdict.UNREPLICATED and self.site.serve:
+        elif verdict is Verdict.UNREPLICATED and self.site.serve_unreplicated:
             self.note(self.unkept, self._id(request))
             self.router.send(attempt)
         else:
--- a/cloverhinge/site/__init__.py
+++ b/cloverhinge/site/__init__.py
@@ -8,26 +8,26 @@
 from pathlib import Path
 
 from cloverhinge.site.model import (
-    AcmeSite,
-    ClientSite,
-    CustodySite,
-    DoorSite,
-    HlsSite,
-    MembersSite,
+    AcmeSettings,
+    AdmissionSettings,
+    ClientSettings,
+    HlsSettings,
+    MembersSettings,
+    OwnershipSettings,
     Site,
-    StoreSite,
+    StoreSettings,
     Title,
 )
 
 __all__ = [
-    "AcmeSite",
-    "ClientSite",
-    "CustodySite",
-    "DoorSite",
-    "HlsSite",
-    "MembersSite",
+    "AcmeSettings",
+    "ClientSettings",
+    "OwnershipSettings",
+    "AdmissionSettings",
+    "HlsSettings",
+    "MembersSettings",
     "Site",
-    "StoreSite",
+    "StoreSettings",
     "Title",
     "read",
 ]
--- a/cloverhinge/site/model.py
+++ b/cloverhinge/site/model.py
@@ -19,19 +19,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HlsSite:
+class HlsSettings:
     listen: tuple[str, int]
-    key: bytes  # signs session URLs
+    signing_key: bytes  # signs session URLs
     idle_ms: float
-    manifest_bytes: int
-    box_port: int
-    boxes: dict[str, tuple[str, int]]  # boxes whose HTTP side is not at their address with `box_port`
+    max_manifest_bytes: int
+    server_port: int
+    server_addresses: dict[
+        str, tuple[str, int]
+    ]  # boxes whose HTTP side is not at their address with `box_port`
     titles: dict[str, Title]
     allow_origin: str
 
 
 @dataclass(frozen=True, slots=True)
-class AcmeSite:
+class AcmeSettings:
     directory: str
     domains: tuple[str, ...]
     contact: str
@@ -42,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientSite:
+class ClientSettings:
     """One client of the operators, whose viewers queue together."""
 
     name: str
@@ -52,16 +54,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DoorSite:
-    key: bytes  # signs tickets; none: one that is made at each start
-    waiting: int  # requests that may wait at a time
-    promises: int  # promises remembered for each client
-    quote_most_ms: float  # the longest quote
-    clients: tuple[ClientSite, ...]  # the last one is `others`
+class AdmissionSettings:
+    signing_key: bytes  # signs tickets; none: one that is made at each start
+    max_waiting: int  # requests that may wait at a time
+    max_reservations: int  # promises remembered for each client
+    max_retry_after_ms: float  # the longest quote
+    clients: tuple[ClientSettings, ...]  # the last one is `others`
 
 
 @dataclass(frozen=True, slots=True)
-class MembersSite:
+class MembersSettings:
     """Membership among the routers; times in ms."""
 
     listen: tuple[str, int]
@@ -76,17 +78,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CustodySite:
+class OwnershipSettings:
     """Work in hand that outlives its router; times in ms."""
 
     routers: int  # that the installation has
-    keepers: int  # routers that may be lost at once
+    tolerated_losses: int  # routers that may be lost at once
     lease_ms: float
-    serve: bool  # where the keepers can't be reached: serve without them
+    serve_unreplicated: bool  # where the keepers can't be reached: serve without them
 
 
 @dataclass(frozen=True, slots=True)
-class StoreSite:
+class StoreSettings:
     """What outlives a restart."""
 
     folder: Path
@@ -94,10 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    hls: HlsSite | None = None
-    acme: AcmeSite | None = None
+    hls: HlsSettings | None = None
+    acme: AcmeSettings | None = None
     admin: tuple[str, int] | None = None
-    door: DoorSite | None = None
-    members: MembersSite | None = None
-    custody: CustodySite | None = None
-    store: StoreSite | None = None
+    admission: AdmissionSettings | None = None
+    members: MembersSettings | None = None
+    ownership: OwnershipSettings | None = None
+    store: StoreSettings | None = None
--- a/cloverhinge/site/schema.py
+++ b/cloverhinge/site/schema.py
@@ -16,28 +16,28 @@
 
 from cloverhinge.core.config_values import ConfigError, parse_address
 from cloverhinge.site.model import (
-    AcmeSite,
-    ClientSite,
-    CustodySite,
-    DoorSite,
-    HlsSite,
-    MembersSite,
+    AcmeSettings,
+    AdmissionSettings,
+    ClientSettings,
+    HlsSettings,
+    MembersSettings,
+    OwnershipSettings,
     Site,
-    StoreSite,
+    StoreSettings,
     Title,
 )
 
-KEY_SHORTEST = 32  # characters, of keys that sign for the router
-CLIENT_KEY_SHORTEST = 16  # of keys under which a client's page vouches
-JOIN_MOST = 64  # addresses to join: each is asked twice a second while none answers
-CLIENTS_MOST = 64  # each may have a bucket and a table of its own in memory
-OTHERS = "others"  # the client of all whom nobody vouches for
+MIN_KEY_LENGTH = 32  # characters, of keys that sign for the router
+MIN_CLIENT_KEY_LENGTH = 16  # of keys under which a client's page vouches
+MAX_JOIN_ADDRESSES = 64  # addresses to join: each is asked twice a second while none answers
+MAX_CLIENTS = 64  # each may have a bucket and a table of its own in memory
+OTHER_CLIENTS = "others"  # the client of all whom nobody vouches for
 NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
 TABLES = ("hls", "acme", "admin", "door", "clients", "members", "custody", "store")
 
-Positive = Annotated[float, Meta(gt=0)]
-Whole = Annotated[int, Meta(ge=0)]
-S = TypeVar("S", bound=msgspec.Struct)
+PositiveFloat = Annotated[float, Meta(gt=0)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+TableType = TypeVar("TableType", bound=msgspec.Struct)
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -50,8 +50,8 @@
 
 class TitleTable(Table):
     copies: Annotated[int, Meta(ge=1)]
-    home: Whole = 0
-    top: Whole = 255
+    home: NonNegativeInt = 0
+    top: NonNegativeInt = 255
     length_s: Annotated[float, Meta(ge=0)] = 0.0
     classes: tuple[str, ...] = ()
 
@@ -59,8 +59,8 @@
 class HlsTable(Table):
     listen: str
     key: str
-    idle_s: Positive = 30.0
-    manifest_kb: Positive = 256.0
+    idle_s: PositiveFloat = 30.0
+    manifest_kb: PositiveFloat = 256.0
     box_port: Annotated[int, Meta(ge=1, lt=65536)] = 8080
     allow_origin: str = "*"
     boxes: dict[str, str] = {}
@@ -74,7 +74,7 @@
     contact: str = ""
     state: str = ""
     ca_file: str = ""
-    renew_before_days: Positive = 30.0
+    renew_before_days: PositiveFloat = 30.0
 
 
 class DoorTable(Table):
@@ -133,7 +133,7 @@
         raise ValueError(f"nothing is called {unknown[0]}")
     admin = None
     if "admin" in told:
-        admin = where(table(told["admin"], AdminTable, "admin").listen, "admin.listen")
+        admin = parse_host_port(convert_table(told["admin"], AdminTable, "admin").listen, "admin.listen")
     if admin is not None and not admin[0].startswith("127."):
         raise ValueError("admin.listen has to be a loopback address")
     hls = parse_hls(told["hls"]) if "hls" in told else None
@@ -141,28 +141,32 @@
         raise ValueError("acme: certificates are for the HLS front, which has no table here")
     if "clients" in told and "door" not in told:
         raise ValueError("clients: clients queue at the door, which has no table here")
-    door = parse_door(told["door"], told.get("clients", {})) if "door" in told else None
+    door = parse_admission(told["door"], told.get("clients", {})) if "door" in told else None
     members = parse_members(told["members"]) if "members" in told else None
     if "custody" in told and members is None:
         raise ValueError("custody: work is kept by the members, which have no table here")
-    custody = parse_custody(told["custody"]) if "custody" in told else None
+    custody = parse_ownership(told["custody"]) if "custody" in told else None
     if "store" in told and custody is None:
         raise ValueError("store: it keeps what custody keeps, which has no table here")
-    store = StoreSite(Path(table(told["store"], StoreTable, "store").folder)) if "store" in told else None
+    store = (
+        StoreSettings(Path(convert_table(told["store"], StoreTable, "store").folder))
+        if "store" in told
+        else None
+    )
     return Site(
         hls, parse_acme(told["acme"]) if "acme" in told else None, admin, door, members, custody, store
     )
 
 
-def table(told: Any, kind: type[S], path: str) -> S:
+def convert_table(told: Any, kind: type[TableType], path: str) -> TableType:
     """A table by its schema; ValueError that names the key at fault by its full path."""
     try:
         return msgspec.convert(told, kind)
     except msgspec.ValidationError as error:
-        raise ValueError(plainly(str(error), path)) from None
+        raise ValueError(explain_error(str(error), path)) from None
 
 
-def plainly(message: str, path: str) -> str:
+def explain_error(message: str, path: str) -> str:
     """The library's message, with the key's path ahead of it."""
     what, _, inside = message.partition(" - at `$")
     at = path + inside.removesuffix("`")
@@ -174,67 +178,69 @@
     return f"{at}: {what[:1].lower()}{what[1:]}"
 
 
-def where(text: str, path: str, lowest: int = 0) -> tuple[str, int]:
+def parse_host_port(text: str, path: str, lowest: int = 0) -> tuple[str, int]:
     try:
         return parse_address(text, lowest)
     except ValueError as error:
         raise ValueError(f"{path}: {error}") from None
 
 
-def secret(text: str, path: str, shortest: int) -> bytes:
-    if len(text) < shortest:
-        raise ValueError(f"{path} has to hold {shortest} characters or more")
+def parse_key(text: str, path: str, min_length: int) -> bytes:
+    if len(text) < min_length:
+        raise ValueError(f"{path} has to hold {min_length} characters or more")
     return text.encode()
 
 
-def named(name: str, path: str, what: str) -> None:
+def check_name(name: str, path: str, what: str) -> None:
     if not NAME.fullmatch(name):
         raise ValueError(f"{path}: a {what} is made of letters, digits, '.', '_' and '-'")
 
 
-def parse_hls(told: Any) -> HlsSite:
-    own = table(told, HlsTable, "hls")
+def parse_hls(told: Any) -> HlsSettings:
+    own = convert_table(told, HlsTable, "hls")
     titles = {}
     for name, one in own.titles.items():
         path = f"hls.titles.{name}"
-        named(name, path, "title")
-        title = table(one, TitleTable, path)
+        check_name(name, path, "title")
+        title = convert_table(one, TitleTable, path)
         titles[name] = Title(
             title.home, title.copies, title.top, title.length_s * 1000.0, frozenset(title.classes)
         )
-    return HlsSite(
-        listen=where(own.listen, "hls.listen"),
-        key=secret(own.key, "hls.key", KEY_SHORTEST),
+    return HlsSettings(
+        listen=parse_host_port(own.listen, "hls.listen"),
+        signing_key=parse_key(own.key, "hls.key", MIN_KEY_LENGTH),
         idle_ms=own.idle_s * 1000.0,
-        manifest_bytes=int(own.manifest_kb * 1024),
-        box_port=own.box_port,
-        boxes={name: where(text, f"hls.boxes.{name}", 1) for name, text in own.boxes.items()},
+        max_manifest_bytes=int(own.manifest_kb * 1024),
+        server_port=own.box_port,
+        server_addresses={
+            name: parse_host_port(text, f"hls.boxes.{name}", 1) for name, text in own.boxes.items()
+        },
         titles=titles,
         allow_origin=own.allow_origin,
     )
 
 
-def parse_acme(told: Any) -> AcmeSite:
-    own = table(told, AcmeTable, "acme")
+def parse_acme(told: Any) -> AcmeSettings:
+    own = convert_table(told, AcmeTable, "acme")
     if not own.domains:
         raise ValueError("acme.domains names no domain")
-    return AcmeSite(
+    return AcmeSettings(
         directory=own.directory,
         domains=own.domains,
         contact=own.contact,
-        listen=where(own.listen, "acme.listen"),
+        listen=parse_host_port(own.listen, "acme.listen"),
         state=Path(own.state) if own.state else None,
         ca_file=own.ca_file,
         renew_before_s=own.renew_before_days * 86400.0,
     )
 
 
-def parse_door(told: Any, clients: Any) -> DoorSite:
-    own = table(told, DoorTable, "door")
+def parse_admission(told: Any, clients: Any) -> AdmissionSettings:
+    own = convert_table(told, DoorTable, "door")
     if not isinstance(clients, dict):
         raise ValueError("clients: expected a table of clients")
-    if len(clients) > CLIENTS_MOST:
-        raise ValueError(f"clients: {len(clients)} are named, {CLIENTS_MOST} at most")
+    if len(clients) > MAX_CLIENTS:
+        raise ValueError(f"clients: {len(clients)} are named, {MAX_CLIENTS} at most")
     parsed = {name: parse_client(name, one) for name, one in clients.items()}
     seen: dict[Any, str] = {}
     for client in parsed.values():
@@ -242,11 +248,13 @@
             if network in seen:
                 raise ValueError(f"clients.{client.name}.networks: {network} is {seen[network]}'s already")
             seen[network] = client.name
-    others = parsed.pop(OTHERS, ClientSite(OTHERS))
+    others = parsed.pop(OTHER_CLIENTS, ClientSettings(OTHER_CLIENTS))
     if others.networks or others.key:
-        raise ValueError(f"clients.{OTHERS} are those whom nobody vouches for: it takes a weight alone")
-    return DoorSite(
-        secret(own.key, "door.key", KEY_SHORTEST) if own.key else b"",
+        raise ValueError(
+            f"clients.{OTHER_CLIENTS} are those whom nobody vouches for: it takes a weight alone"
+        )
+    return AdmissionSettings(
+        parse_key(own.key, "door.key", MIN_KEY_LENGTH) if own.key else b"",
         own.waiting,
         own.promises,
         own.quote_most_s * 1000.0,
@@ -254,34 +262,34 @@
     )
 
 
-def parse_client(name: str, told: Any) -> ClientSite:
+def parse_client(name: str, told: Any) -> ClientSettings:
     path = f"clients.{name}"
-    named(name, path, "client")
-    own = table(told, ClientTable, path)
+    check_name(name, path, "client")
+    own = convert_table(told, ClientTable, path)
     networks = []
     for text in own.networks:
         try:
             networks.append(ip_network(text))
         except ValueError as error:
             raise ValueError(f"{path}.networks: {error}") from None
-    key = secret(own.key, f"{path}.key", CLIENT_KEY_SHORTEST) if own.key else b""
-    return ClientSite(name, own.weight, tuple(networks), key)
+    key = parse_key(own.key, f"{path}.key", MIN_CLIENT_KEY_LENGTH) if own.key else b""
+    return ClientSettings(name, own.weight, tuple(networks), key)
 
 
-def parse_members(told: Any) -> MembersSite:
-    own = table(told, MembersTable, "members")
-    named(own.site, "members.site", "site")
-    if len(own.join) > JOIN_MOST:
-        raise ValueError(f"members.join: {len(own.join)} addresses are named, {JOIN_MOST} at most")
+def parse_members(told: Any) -> MembersSettings:
+    own = convert_table(told, MembersTable, "members")
+    check_name(own.site, "members.site", "site")
+    if len(own.join) > MAX_JOIN_ADDRESSES:
+        raise ValueError(f"members.join: {len(own.join)} addresses are named, {MAX_JOIN_ADDRESSES} at most")
     if own.quiet_ms < 2.0 * own.probe_ms:
         raise ValueError("members.quiet_ms has to be twice members.probe_ms or more: an answer may be lost")
-    keys = [secret(own.key, "members.key", KEY_SHORTEST)]
+    keys = [parse_key(own.key, "members.key", MIN_KEY_LENGTH)]
     if own.old_key:
-        keys.append(secret(own.old_key, "members.old_key", KEY_SHORTEST))
-    return MembersSite(
-        listen=where(own.listen, "members.listen"),
-        advertise=where(own.advertise, "members.advertise") if own.advertise else None,
-        join=tuple(where(text, f"members.join[{at}]", 1) for at, text in enumerate(own.join)),
+        keys.append(parse_key(own.old_key, "members.old_key", MIN_KEY_LENGTH))
+    return MembersSettings(
+        listen=parse_host_port(own.listen, "members.listen"),
+        advertise=parse_host_port(own.advertise, "members.advertise") if own.advertise else None,
+        join=tuple(parse_host_port(text, f"members.join[{at}]", 1) for at, text in enumerate(own.join)),
         site=own.site,
         keys=tuple(keys),
         probe_ms=own.probe_ms,
@@ -291,6 +299,6 @@
     )
 
 
-def parse_custody(told: Any) -> CustodySite:
-    own = table(told, CustodyTable, "custody")
-    return CustodySite(own.routers, own.keepers, own.lease_ms, own.when_unkept == "serve")
+def parse_ownership(told: Any) -> OwnershipSettings:
+    own = convert_table(told, CustodyTable, "custody")
+    return OwnershipSettings(own.routers, own.keepers, own.lease_ms, own.when_unkept == "serve")
--- a/tests/test_acme.py
+++ b/tests/test_acme.py
@@ -17,12 +17,12 @@
 import pytest
 
 from cloverhinge.acme.issue import issue, new_account_key
-from cloverhinge.acme.renewal import Keeper
+from cloverhinge.acme.renewal import CertificateRenewal
 from cloverhinge.core.clock import ManualClock
 from cloverhinge.core.deadlines import Deadlines
 from cloverhinge.lab.harness import ROOT, WAIT_S, site
 from cloverhinge.operations import console
-from cloverhinge.site import AcmeSite
+from cloverhinge.site import AcmeSettings
 from tests.authority import Authority
 
 DOMAIN = "training.example"
@@ -65,7 +65,7 @@
                 authority.front.set_result(front)
             tls = int(program.wait_for(r"HLS over TLS on 127\.0\.0\.1:(\d+)")[1])
             serials.append(certificate(tls))
-            view = "\n".join(console.render(console.fetch(("127.0.0.1", admin))))
+            view = "\n".join(console.render_status(console.fetch_status(("127.0.0.1", admin))))
             assert f"certificate for {DOMAIN}: good until" in view and "s-00000000" in view
     assert serials[0] == serials[1] == 1001 and authority.issued == 1  # the second start found it kept
     assert (tmp_path / "state" / "key.pem").stat().st_mode & 0o77 == 0
@@ -90,7 +90,9 @@
             **changes,
         }
         self.ready = 0
-        self.keeper = Keeper(AcmeSite(**told), self.deadlines, self._call, self._ready, random.Random(1))
+        self.keeper = CertificateRenewal(
+            AcmeSettings(**told), self.deadlines, self._call, self._ready, random.Random(1)
+        )
 
     def _ready(self) -> None:
         self.ready += 1
@@ -200,4 +202,4 @@
 
 
 def test_what_comes_from_outside_can_t_steer_the_terminal() -> None:
-    assert console.plain(json.loads('"\\u001b[2Jx"'), 6) == "?[2Jx "
+    assert console.column(json.loads('"\\u001b[2Jx"'), 6) == "?[2Jx "
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,7 +15,7 @@
 from cloverhinge.admission.forecast import LifeTable, departure_curve
 from cloverhinge.admission.reservation_tokens import ReservationTokens
 from cloverhinge.admission.reservations import Reservation, ReservationTable
-from cloverhinge.site import ClientSite
+from cloverhinge.site import ClientSettings
 
 POOL = fair_queue.Pool("free", 0, 4)
 PAID = fair_queue.Pool("paid", 0, 4)
@@ -343,9 +343,9 @@
 
 
 def test_clients_are_identified_by_network_or_proof() -> None:
-    maple = ClientSite("maple", 1.0, (ip_network("10.1.0.0/16"),), b"m" * 16)
-    birch = ClientSite("birch", 1.0, (ip_network("10.1.2.0/24"), ip_network("fd00::/8")))
-    clients = Clients((maple, birch, ClientSite("others")))
+    maple = ClientSettings("maple", 1.0, (ip_network("10.1.0.0/16"),), b"m" * 16)
+    birch = ClientSettings("birch", 1.0, (ip_network("10.1.2.0/24"), ip_network("fd00::/8")))
+    clients = Clients((maple, birch, ClientSettings("others")))
     assert [
         clients.identify(peer, "", "", "p") for peer in ("10.1.9.9", "10.1.2.9", "fd00::1", "9.9.9.9", "?")
     ] == [0, 1, 1, 2, 2]
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -19,11 +19,11 @@
 from cloverhinge.admission.gateway import AdmissionGateway
 from cloverhinge.core.model import State
 from cloverhinge.decision import interface as api
-from cloverhinge.site import ClientSite, DoorSite
+from cloverhinge.site import AdmissionSettings, ClientSettings
 
-MAPLE = ClientSite("maple", 1.0, (ip_network("10.1.0.0/16"),))
-BIRCH = ClientSite("birch", 1.0, (ip_network("10.2.0.0/16"),))
-ALDER = ClientSite("alder", 1.0, (ip_network("10.3.0.0/16"),))
+MAPLE = ClientSettings("maple", 1.0, (ip_network("10.1.0.0/16"),))
+BIRCH = ClientSettings("birch", 1.0, (ip_network("10.2.0.0/16"),))
+ALDER = ClientSettings("alder", 1.0, (ip_network("10.3.0.0/16"),))
 
 
 def world(
@@ -36,7 +36,7 @@
     simulation = World(settings(boxes, sessions_per_server, **more), list(crowds), boxes=boxes)
     named = zip((MAPLE, BIRCH, ALDER), weights, strict=True)
     clients = [replace(one, weight=weight) for one, weight in named]
-    site = DoorSite(b"k" * 32, 512, 2048, 60_000.0, (*clients, ClientSite("others")))
+    site = AdmissionSettings(b"k" * 32, 512, 2048, 60_000.0, (*clients, ClientSettings("others")))
     return simulation, AdmissionGateway(site, simulation.router, simulation.deadlines, 1)
 
 
--- a/tests/test_lab_ownership.py
+++ b/tests/test_lab_ownership.py
@@ -118,7 +118,7 @@
 
 
 def custody_of(made: Rig, number: int, play_number: int) -> dict[str, Any]:
-    told: dict[str, Any] = console.ask(made[number].ports["admin"], f"custody play-{play_number:08d}")
+    told: dict[str, Any] = console.query(made[number].ports["admin"], f"custody play-{play_number:08d}")
     return told
 
 
@@ -356,7 +356,7 @@
             made,
             "its intent is kept",
             lambda: any(
-                console.ask(x.ports["admin"], f"custody {session}").get("found")
+                console.query(x.ports["admin"], f"custody {session}").get("found")
                 for x in made.routers
                 if x is not made[1]
             ),
--- a/tests/test_manifests.py
+++ b/tests/test_manifests.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverhinge.hls.manifests import BadManifest, ended, parse, rewrite
+from cloverhinge.hls.manifests import BadManifest, ended_playlist, parse, rewrite
 
 BASE = "http://10.0.0.9:8080/sessions/00ff"
 MASTER = b"""#EXTM3U
@@ -54,7 +54,7 @@
     ]
     assert "#EXT-X-CUSTOM:kept" in text and manifest.complete
     assert (manifest.duration_ms, manifest.target_s, manifest.next_sequence) == (7500.0, 4, 9)
-    assert ended(manifest).split("\n")[2:] == [
+    assert ended_playlist(manifest).split("\n")[2:] == [
         "#EXT-X-TARGETDURATION:4",
         "#EXT-X-MEDIA-SEQUENCE:9",
         "#EXT-X-ENDLIST",
--- a/tests/test_operations_network.py
+++ b/tests/test_operations_network.py
@@ -248,12 +248,12 @@
     deploy.write_text('[admin]\nlisten = "127.0.0.1:0"\n')
     with site(tmp_path, operated=True, deploy=deploy) as (program, _, _log):
         where = "127.0.0.1", int(program.wait_for(r"admin on 127\.0\.0\.1:(\d+)")[1])
-        assert console.ask(where, "maint-on s-00000000") == {"answer": "ACK"}
+        assert console.query(where, "maint-on s-00000000") == {"answer": "ACK"}
         assert figures(program)["pool_ejected"] == 1
-        assert "LEFT OUT BY HAND  s-00000000" in console.render(console.fetch(where))
-        assert console.ask(where, "maint-off s-9")["answer"].startswith("NAK")
+        assert "LEFT OUT BY HAND  s-00000000" in console.render_status(console.fetch_status(where))
+        assert console.query(where, "maint-off s-9")["answer"].startswith("NAK")
         assert program.call("maint-off s-00000000") == ["ACK"]
-        assert console.fetch(where)["operation"]["left_out"] == []
+        assert console.fetch_status(where)["operation"]["left_out"] == []
 
 
 def test_a_descriptor_that_is_none_is_one_plain_sentence(tmp_path: Path) -> None:
--- a/tests/test_plays.py
+++ b/tests/test_plays.py
@@ -10,7 +10,7 @@
 from cloverhinge.core.model import Request
 from cloverhinge.decision import interface as api
 from cloverhinge.decision.interface import Outcome
-from cloverhinge.hls.plays import Final, Over, Play, Plays
+from cloverhinge.hls.plays import FetchFailed, Play, PlayEnded, Plays
 from cloverhinge.site import Title
 from tests.test_core import Stand
 
@@ -26,13 +26,13 @@
 
     def fetch(self, class_name: str = "paid", key: str = "attempt-1", title: str = "t") -> list[Any]:
         """Empty while it waits, then what it came to."""
-        play, came = self.plays.find(key, class_name, title, TITLE), list[Any]()
-        work: Deferred[Request] = ensureDeferred(self.plays.stand(play))
+        play, came = self.plays.find_or_add(key, class_name, title, TITLE), list[Any]()
+        work: Deferred[Request] = ensureDeferred(self.plays.established_session(play))
         work.addCallbacks(came.append, lambda failure: came.append(failure.value))
         return came
 
     def play(self, key: str = "attempt-1") -> Play:
-        return self.plays.by_key[key]
+        return self.plays.by_id[key]
 
     def answer(self) -> None:
         attempt = self.stand.sent[-1]
@@ -74,7 +74,7 @@
         fetches.answer()
         assert came == [fetches.play().request] and fetches.play().request is not request
     else:
-        assert isinstance(came[0], Over) and isinstance(fetches.fetch(class_name)[0], Over)
+        assert isinstance(came[0], PlayEnded) and isinstance(fetches.fetch(class_name)[0], PlayEnded)
 
 
 def test_a_failed_paid_play_stays_failed_and_a_refused_one_may_try_again() -> None:
@@ -99,7 +99,7 @@
     fetches.stand.pass_ms(29_000.0)
     assert fetches.play().request is not None
     fetches.stand.pass_ms(2_000.0)
-    assert not fetches.plays.by_key and not fetches.plays.by_token and len(fetches.plays.table) == 0
+    assert not fetches.plays.by_id and not fetches.plays.by_token and len(fetches.plays.table) == 0
     assert any(one[0] == "release" for one in fetches.stand.told)
 
 
@@ -107,6 +107,6 @@
     fetches = Fetches()
     came = [fetches.fetch() for _ in range(70)]
     assert [one[0].status for one in came if one] == [503] * 6
-    with pytest.raises(Final) as raised:
+    with pytest.raises(FetchFailed) as raised:
         fetches.fetch(title="u")
     assert raised.value.status == 409
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -75,8 +75,8 @@
         DOOR + "waiting = 9\n[clients.maple]\nweight = 2\nnetworks = ['10.1.0.0/16', 'fd00::/8']"
         "\n[clients.others]\nweight = 0.5\n"
     )
-    door = site.read(path).door
-    assert door is not None and door.waiting == 9
+    door = site.read(path).admission
+    assert door is not None and door.max_waiting == 9
     assert [(one.name, one.weight, len(one.networks)) for one in door.clients] == [
         ("maple", 2.0, 2),
         ("others", 0.5, 0),
@@ -86,8 +86,8 @@
 def test_a_door_needs_nothing_but_its_table(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text("[door]\n")
-    door = site.read(path).door
-    assert door is not None and door.key == b"" and door.waiting == 512
+    door = site.read(path).admission
+    assert door is not None and door.signing_key == b"" and door.max_waiting == 512
 
 
 def test_members_need_an_address_and_a_key(tmp_path: Path) -> None:
@@ -117,5 +117,5 @@
     at = text.index("# [door]")
     path = tmp_path / "site.toml"
     path.write_text(text[:at] + re.sub(r"^# ?", "", text[at:], flags=re.M))
-    door = site.read(path).door
+    door = site.read(path).admission
     assert door is not None and [one.name for one in door.clients] == ["maple", "others"]
