--- a/cloverhinge/hls/__init__.py
+++ b/cloverhinge/hls/__init__.py
@@ -1,1 +1,1 @@
-"""The HLS front: manifests rewritten for each session."""
+"""The HLS front end: serves players with manifests that are rewritten for each session."""
--- a/cloverhinge/hls/front.py
+++ b/cloverhinge/hls/front.py
@@ -1,8 +1,8 @@
-"""The HLS front: players' fetches over HTTP, answered with manifests rewritten for their sessions.
+"""The HLS front: answers players' HTTP fetches with manifests rewritten for their sessions.
 
-GET /play/CLASS/TITLE?play=ID            the session's manifest; sets the session up where none stands
+GET /play/CLASS/TITLE?play=ID            the session's manifest; sets the session up if none is established
 GET /session/TOKEN/N/SIGNATURE.m3u8      the N-th media playlist that the manifest named
-GET /.well-known/acme-challenge/TOKEN    answers of the certificate authority's challenges
+GET /.well-known/acme-challenge/TOKEN    the proof for a challenge of the certificate authority
 """
 
 from __future__ import annotations
@@ -35,16 +35,15 @@
 
 PLAY_ID = re.compile(r"[A-Za-z0-9._~-]{8,128}")
 IDLE_CONNECTION_S = 60
-REQUEST_TIMEOUT_MS = (
-    8000.0  # a request is whole so long after its first byte, or its connection is cut; longer than
-)
-# any set-up takes, as a request may come while the one before it waits for its answer
+# From a request's first byte until it is complete, else its connection is cut.  Longer than any set-up takes,
+# since a request may arrive while the previous one waits for its answer.
+REQUEST_TIMEOUT_MS = 8000.0
 MAX_BODY_BYTES = 16 * 1024
-Answer = tuple[int, str, str, dict[str, str]]  # status, text, its type, further fields
+Answer = tuple[int, str, str, dict[str, str]]  # status, text, content type, further header fields
 
 
 class BoundedRequest(HttpRequest):
-    """Reads no more of a body than a message may hold; no fetch of this front needs one."""
+    """Cuts the connection of a request whose body has no length or is too long; no fetch needs a body."""
 
     def gotLength(self, length: int | None) -> None:
         if length is None or length > MAX_BODY_BYTES:
@@ -60,16 +59,23 @@
 
 
 def is_connected(request: Any) -> bool:
-    """Whether the player of a fetch has its connection open, also where its end lies behind unread input."""
+    """Whether the player of a fetch has its connection open.
+
+    Also notices the end of a connection that lies behind input that has not been read yet.
+    """
     if request._disconnected or request.channel is None:
         return False
-    ended = select.poll()
-    ended.register(request.channel.transport.getHandle().fileno(), select.POLLRDHUP)
-    return not ended.poll(0)
+    poller = select.poll()
+    poller.register(request.channel.transport.getHandle().fileno(), select.POLLRDHUP)
+    return not poller.poll(0)
 
 
 class TimedConnection(ProtocolWrapper):
-    """Guards against players that say nothing, or a request byte by byte: no byte renews the time."""
+    """A connection that is cut unless each request is complete within a fixed time.
+
+    Single bytes do not renew the time, so a player that sends nothing, or a request byte by byte, can't keep
+    a connection.
+    """
 
     timeout_key: DeadlineKey | None = None
 
@@ -78,12 +84,13 @@
         super().connectionMade()  # type: ignore[no-untyped-call]
 
     def _start_timeout(self) -> None:
-        limited: Any = self.factory
-        self.timeout_key = limited.deadlines.after(REQUEST_TIMEOUT_MS, self.abortConnection)
+        factory: Any = self.factory
+        self.timeout_key = factory.deadlines.after(REQUEST_TIMEOUT_MS, self.abortConnection)
 
     def request_complete(self) -> None:
-        limited: Any = self.factory
-        limited.deadlines.cancel(self.timeout_key)
+        """Stop the time limit until the next request begins."""
+        factory: Any = self.factory
+        factory.deadlines.cancel(self.timeout_key)
         self.timeout_key = None
 
     def dataReceived(self, data: bytes) -> None:
@@ -97,7 +104,7 @@
 
 
 class BoundedFactory(WrappingFactory):
-    """Holds a bounded number of connections; over it, a new one is closed at once."""
+    """Accepts up to `max_connections` connections at a time; further ones are closed at once."""
 
     noisy = False
     protocol = TimedConnection
@@ -111,12 +118,15 @@
 
 
 def make_factory(front: HlsFront, max_connections: int, deadlines: Deadlines) -> BoundedFactory:
+    """The protocol factory of an HLS listener, with bounds on connections and on the time of a request."""
     site = Site(front, requestFactory=BoundedRequest, timeout=IDLE_CONNECTION_S)
     site.noisy = False
     return BoundedFactory(site, max_connections, deadlines)
 
 
 class HlsFront(Resource):
+    """The web resource of all paths that the HLS front serves."""
+
     isLeaf = True
     log = Logger()
 
@@ -129,7 +139,11 @@
         challenge_proof: Callable[[str], str | None] = lambda token: None,
         identify: Callable[[str, str, str, str], int] | None = None,
     ) -> None:
-        """`identify` is the door's: peer, client, proof and play id to the client's number, or ValueError."""
+        """`challenge_proof` returns the proof for the token of a challenge, or None.
+
+        `identify` is given where the site has admission: it maps the peer's address, client, proof and play
+        id to the client's number, or raises ValueError.
+        """
         super().__init__()  # type: ignore[no-untyped-call]
         self.identify = identify
         self.settings, self.router, self.servers, self.plays, self.challenge_proof = (
@@ -145,20 +159,20 @@
             request.setHeader(b"Allow", b"GET")
             self._write(request, 405, "only GET is served here\n", "text/plain")
             return NOT_DONE_YET
-        gone: list[bool] = []
-        request.notifyFinish().addErrback(lambda _: gone.append(True))
+        disconnected: list[bool] = []
+        request.notifyFinish().addErrback(lambda _: disconnected.append(True))
         answer = ensureDeferred(self._answer(request))
 
         def write(result: Answer) -> None:
-            if not gone:
+            if not disconnected:
                 self._write(request, *result)
 
-        def broken(failure: Any) -> None:
-            self.log.failure("a fetch failed", failure=failure)
-            if not gone:
+        def write_error(failure: Any) -> None:
+            self.log.failure("a fetch failed with an unexpected error", failure=failure)
+            if not disconnected:
                 self._write(request, 500, "internal error\n", "text/plain")
 
-        answer.addCallback(write).addErrback(broken)
+        answer.addCallback(write).addErrback(write_error)
         return NOT_DONE_YET
 
     def _write(
@@ -166,12 +180,12 @@
         request: Any,
         status: int,
         text: str,
-        kind: str,
+        content_type: str,
         fields: dict[str, str] | None = None,
     ) -> None:
         request.setResponseCode(status)
         for name, value in {
-            "Content-Type": kind,
+            "Content-Type": content_type,
             "Cache-Control": "no-store",
             "Access-Control-Allow-Origin": self.settings.allow_origin,
             **(fields or {}),
@@ -196,53 +210,52 @@
             raise FetchFailed(404, "nothing is here")
         except UnicodeDecodeError:
             return 400, "the path is not ASCII\n", "text/plain", {}
-        except FetchFailed as final:
+        except FetchFailed as failure:
             fields = {}
-            if final.status == 503:
-                fields["Retry-After"] = str(max(1, math.ceil(final.retry_after_ms / 1000.0)))
+            if failure.status == 503:
+                fields["Retry-After"] = str(max(1, math.ceil(failure.retry_after_ms / 1000.0)))
                 if self.identify is not None:
-                    fields["X-Hold-Off"] = str(math.ceil(final.retry_after_ms))
-                if final.reservation_token:
-                    fields["X-Ticket"] = final.reservation_token
-            return final.status, final.reason + "\n", "text/plain", fields
+                    fields["X-Hold-Off"] = str(math.ceil(failure.retry_after_ms))
+                if failure.reservation_token:
+                    fields["X-Ticket"] = failure.reservation_token
+            return failure.status, failure.reason + "\n", "text/plain", fields
 
     async def _play(self, request: Any, class_name: str, title_name: str) -> Answer:
-        kind, title = self.router.classes.get(class_name), self.settings.titles.get(title_name)
-        if kind is None or title is None or (title.classes and class_name not in title.classes):
+        service_class, title = self.router.classes.get(class_name), self.settings.titles.get(title_name)
+        if service_class is None or title is None or (title.classes and class_name not in title.classes):
             raise FetchFailed(404, "no such class or title")
-        told, words = request.args.get(b"play", []), self._query_values(request, "client", "proof", "ticket")
-        if not told:
-            if words[0] or words[1]:
+        ids, values = request.args.get(b"play", []), self._query_values(request, "client", "proof", "ticket")
+        if not ids:
+            if values[0] or values[1]:
                 raise FetchFailed(400, "a proof is made for a play id: ?play=ID&client=NAME&proof=HEX")
-            if kind.effect is not Effect.REPEATABLE:
+            if service_class.effect is not Effect.REPEATABLE:
                 raise FetchFailed(400, "a paid session needs a play id: ?play=ID")
-            # Under an id of its own, so that the player's next fetch finds this session again.
-            where = f"/play/{quote(class_name)}/{quote(title_name)}?play={secrets.token_hex(16)}"
-            return 302, "", "text/plain", {"Location": where}
-        key = told[0].decode("ascii", "replace")
-        if len(told) != 1 or not PLAY_ID.fullmatch(key):
+            # Redirect to a URL with a new play id, so that the player's next fetch finds the same session.
+            location = f"/play/{quote(class_name)}/{quote(title_name)}?play={secrets.token_hex(16)}"
+            return 302, "", "text/plain", {"Location": location}
+        play_id = ids[0].decode("ascii", "replace")
+        if len(ids) != 1 or not PLAY_ID.fullmatch(play_id):
             raise FetchFailed(400, "a play id is 8 to 128 letters, digits, '.', '_', '~' or '-'")
         peer, client = str(request.getClientAddress().host), -1
         if self.identify is not None:
             try:
-                client = self.identify(peer, words[0], words[1], key)
+                client = self.identify(peer, values[0], values[1], play_id)
             except ValueError as error:
                 raise FetchFailed(403, str(error)) from None
-        play = self.plays.find_or_add(key, class_name, title_name, title)
-        play.peer_address, play.client_number, play.reservation_token = peer, client, words[2]
+        play = self.plays.find_or_add(play_id, class_name, title_name, title)
+        play.peer_address, play.client_number, play.reservation_token = peer, client, values[2]
         self.plays.touch(play)
         return 200, await self._session(play, None, request), manifests.CONTENT_TYPE, {}
 
     @staticmethod
     def _query_values(request: Any, *names: str) -> list[str]:
-        """What the query says under names; where a name comes twice, nothing that fits."""
-        told = [request.args.get(name.encode(), [b""]) for name in names]
-        return ["?" if len(one) != 1 else one[0].decode("ascii", "replace") for one in told]
+        """The values of the query's parameters; "?", which no check accepts, where one occurs twice."""
+        found = [request.args.get(name.encode(), [b""]) for name in names]
+        return ["?" if len(values) != 1 else values[0].decode("ascii", "replace") for values in found]
 
     def playlist_signature(self, token: str, number: int) -> str:
-        return hmac.new(self.settings.signing_key, f"{token}/{number}".encode(), hashlib.sha256).hexdigest()[
-            :32
-        ]
+        """The signature that the URL of a session's media playlist carries, in hex."""
+        return hmac.new(self.settings.url_key, f"{token}/{number}".encode(), hashlib.sha256).hexdigest()[:32]
 
     async def _playlist(self, request: Any, token: str, number: str, name: str) -> str:
         if not re.fullmatch(r"[0-9]{1,3}", number) or not name.endswith(".m3u8"):
@@ -258,7 +271,10 @@
         return await self._session(play, int(number), request)
 
     async def _session(self, play: Play, number: int | None, fetch: Any) -> str:
-        """The play's manifest, or its n-th media playlist, rendered from the list of boxes as it is now."""
+        """The play's manifest, or its media playlist `number`, rewritten.
+
+        No media server is named that may not be sent to at the moment of writing.
+        """
         for _ in range(2):
             try:
                 request = await self.plays.established_session(play, lambda: is_connected(fetch))
@@ -269,21 +285,23 @@
                         manifests.parse(play.set_up_answer, self.settings.max_manifest_bytes),
                         None,
                     )
-                    top = play.manifest
+                    manifest = play.manifest
                 elif play.manifest is None or not (play.manifest.is_multivariant or number is not None):
-                    top = play.manifest = await self.servers.fetch(url)
+                    manifest = play.manifest = await self.servers.fetch(url)
                 else:
-                    top = play.manifest  # a multivariant playlist stays as it is while the session stands
-                cap = self._max_bandwidth(play, request.rung)
+                    manifest = play.manifest  # a multivariant playlist does not change during a session
+                max_bandwidth = self._max_bandwidth(play, request.rung)
                 if number is not None:
-                    url = self._playlist_url(top, number, url, cap)
-                    top = await self.servers.fetch(url)
-                if not top.is_multivariant:
-                    play.media_playlist = top
+                    url = self._playlist_url(manifest, number, url, max_bandwidth)
+                    manifest = await self.servers.fetch(url)
+                if not manifest.is_multivariant:
+                    play.media_playlist = manifest
                     self.plays.touch(play)
-                # The fetch took a while: the box may have been told draining or gone since.
+                # During the fetch the media server may have been listed as draining or gone.
                 if play.request is request and self.router.sendable(server):
-                    return manifests.rewrite(top, url, lambda n: self._playlist_path(play, n), cap)
+                    return manifests.rewrite(
+                        manifest, url, lambda n: self._playlist_path(play, n), max_bandwidth
+                    )
             except PlayEnded:
                 return manifests.ended_playlist(play.media_playlist)
             except media.SessionGone:
@@ -300,15 +318,15 @@
         raise FetchFailed(503, "the session was lost", 1000.0)
 
     def _max_bandwidth(self, play: Play, rung: int | None) -> float:
-        """The highest rate in bits a second that may be named: that of the rung in force."""
-        kind, ladder = self.router.classes[play.class_name], self.router.settings.ladder_kb
-        return ladder[kind.floor if rung is None else rung] * kind.rate_scale * 8000.0 + 1.0
+        """The highest bandwidth in bits a second that may be named: that of the rung in force."""
+        service_class, ladder = self.router.classes[play.class_name], self.router.settings.ladder_kb
+        return ladder[service_class.floor if rung is None else rung] * service_class.rate_scale * 8000.0 + 1.0
 
-    def _playlist_url(self, master: manifests.Manifest, number: int, url: str, cap: float) -> str:
-        """Where the n-th playlist lies; a variant over the rung in force gives way to the best under it."""
+    def _playlist_url(self, master: manifests.Manifest, number: int, url: str, max_bandwidth: float) -> str:
+        """The URL of media playlist `number`; a variant over the cap is replaced by the best one under it."""
         if number >= len(master.renditions):
             raise FetchFailed(404, "the manifest names no such playlist")
-        wanted, allowed = master.renditions[number], master.allowed_renditions(cap)
+        wanted, allowed = master.renditions[number], master.allowed_renditions(max_bandwidth)
         if wanted not in allowed:
             wanted = max((x for x in allowed if x.bandwidth is not None), key=lambda x: x.bandwidth or 0)
         return manifests.absolute_uri(wanted.uri, url)
--- a/cloverhinge/hls/manifests.py
+++ b/cloverhinge/hls/manifests.py
@@ -1,7 +1,7 @@
-"""HLS manifests (RFC 8216): reading what a box made, and writing it anew for one session.
+"""HLS manifests (RFC 8216): parses a media server's manifest and rewrites it for one session.
 
-m3u8 parses and judges a manifest.  The rewritten one is made from its lines, not from m3u8's objects, which
-keep one key a segment and drop tags that they don't know.
+m3u8 parses and validates a manifest.  The rewritten one is made from the original lines, not from m3u8's
+objects, which keep only one key for each segment and drop unknown tags.
 """
 
 from __future__ import annotations
@@ -17,8 +17,9 @@
 CONTENT_TYPE = "application/vnd.apple.mpegurl"
 URI_ATTRIBUTE = re.compile(r'(?<=[:,])([A-Z0-9-]*URI)="([^"]*)"')
 BANDWIDTH = re.compile(r"(?<=[:,])BANDWIDTH=(\d+)")
-UNCHANGED_SCHEMES = ("skd", "data", "urn")  # names that a player resolves without a server
-# Steering would send the player past the router; the others belong to blocking reloads, which it has not.
+UNCHANGED_SCHEMES = ("skd", "data", "urn")  # URIs that a player resolves without a server
+# Content steering would send the player past the router; the other tags belong to blocking playlist reloads,
+# which the router does not support.
 DROPPED_TAGS = (
     "#EXT-X-CONTENT-STEERING:",
     "#EXT-X-SERVER-CONTROL:",
@@ -29,12 +30,15 @@
 
 
 class BadManifest(ValueError):
-    """A box's manifest can't be used."""
+    """A media server's manifest can't be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rendition:
-    """A media playlist that a multivariant playlist names; alternatives in `#EXT-X-MEDIA` have no rate."""
+    """A media playlist that a multivariant playlist names.
+
+    `bandwidth` is in bits a second; alternatives in `#EXT-X-MEDIA` have none.
+    """
 
     uri: str
     bandwidth: int | None
@@ -42,25 +46,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
+    """A parsed manifest: a multivariant playlist, or a media playlist."""
+
     lines: tuple[str, ...]
-    renditions: tuple[Rendition, ...]  # none: this is a media playlist itself
-    complete: bool  # it holds all there is
+    renditions: tuple[Rendition, ...]  # empty: this is a media playlist
+    complete: bool  # the playlist has its end tag, so no segment follows
     duration_ms: float
     target_s: int
     next_sequence: int
 
     @property
     def is_multivariant(self) -> bool:
+        """Whether this is a multivariant playlist."""
         return bool(self.renditions)
 
     def allowed_renditions(self, max_bandwidth: float) -> tuple[Rendition, ...]:
-        """What may be named under a cap in bits a second: the lowest variant in any case."""
-        rates = [x.bandwidth for x in self.renditions if x.bandwidth is not None]
-        top = max(max_bandwidth, min(rates, default=0))
-        return tuple(x for x in self.renditions if x.bandwidth is None or x.bandwidth <= top)
+        """Renditions within `max_bandwidth` in bits a second; the lowest variant is always included."""
+        bandwidths = [x.bandwidth for x in self.renditions if x.bandwidth is not None]
+        limit = max(max_bandwidth, min(bandwidths, default=0))
+        return tuple(x for x in self.renditions if x.bandwidth is None or x.bandwidth <= limit)
 
 
 def parse(data: bytes, max_bytes: int = MAX_BYTES) -> Manifest:
+    """Parse a manifest; raises `BadManifest` on an invalid one or one of more than `max_bytes`."""
     if len(data) > max_bytes:
         raise BadManifest(f"over {max_bytes} bytes")
     try:
@@ -73,70 +81,77 @@
     if any(ord(c) < 32 and c != "\t" for line in lines for c in line):
         raise BadManifest("control characters")
     try:
-        read = m3u8.loads(text)
-    except Exception as error:  # the library raises what its parsers meet, of many types
+        parsed = m3u8.loads(text)
+    except Exception as error:  # the library lets exceptions of many types through
         raise BadManifest(f"{type(error).__name__}: {error}"[:200]) from None
-    renditions = _renditions(lines) if read.is_variant else ()
-    if read.is_variant and not any(x.bandwidth is not None for x in renditions):
+    renditions = _renditions(lines) if parsed.is_variant else ()
+    if parsed.is_variant and not any(x.bandwidth is not None for x in renditions):
         raise BadManifest("no variant")
-    if not read.is_variant and not isinstance(read.target_duration, int | float):
+    if not parsed.is_variant and not isinstance(parsed.target_duration, int | float):
         raise BadManifest("no #EXT-X-TARGETDURATION")
     return Manifest(
         lines,
         renditions,
-        bool(read.is_endlist),
-        sum(float(segment.duration or 0.0) for segment in read.segments) * 1000.0,
-        int(read.target_duration or 1),
-        int(read.media_sequence or 0) + len(read.segments),
+        bool(parsed.is_endlist),
+        sum(float(segment.duration or 0.0) for segment in parsed.segments) * 1000.0,
+        int(parsed.target_duration or 1),
+        int(parsed.media_sequence or 0) + len(parsed.segments),
     )
 
 
 def _renditions(lines: tuple[str, ...]) -> tuple[Rendition, ...]:
     found: dict[str, Rendition] = {}
-    rate: int | None = None
+    bandwidth: int | None = None
     for line in lines:
         if line.startswith(("#EXT-X-STREAM-INF:", "#EXT-X-I-FRAME-STREAM-INF:")):
-            told = BANDWIDTH.search(line)
-            if told is None:
+            match = BANDWIDTH.search(line)
+            if match is None:
                 raise BadManifest("a variant without BANDWIDTH")
-            rate = int(told[1])
+            bandwidth = int(match[1])
         uri = URI_ATTRIBUTE.search(line) if line.startswith(PLAYLIST_TAGS) else None
         if uri is not None:
-            found.setdefault(uri[2], Rendition(uri[2], None if line.startswith("#EXT-X-MEDIA:") else rate))
+            found.setdefault(
+                uri[2], Rendition(uri[2], None if line.startswith("#EXT-X-MEDIA:") else bandwidth)
+            )
         elif line.strip() and not line.startswith("#"):
-            if rate is None:
+            if bandwidth is None:
                 raise BadManifest("a variant without #EXT-X-STREAM-INF")
-            found.setdefault(line.strip(), Rendition(line.strip(), rate))
-            rate = None
+            found.setdefault(line.strip(), Rendition(line.strip(), bandwidth))
+            bandwidth = None
     return tuple(found.values())
 
 
 def absolute_uri(uri: str, base: str) -> str:
-    """A URI of a box's manifest, which has to lead back to that box; `base` is where the manifest came from.
+    """The absolute form of a URI in a manifest that was fetched from `base`.
 
-    Guards the drain rule: a manifest that names another box would keep it in use behind the router's back.
+    Raises `BadManifest` where the URI leads to another server.  Otherwise the manifest could name a draining
+    media server, which would stay in use without the router knowing.
     """
     if "{$" in uri or re.search(r'[\s"<>\\]', uri) or not uri:
         raise BadManifest(f"{uri[:80]!r} is no usable URI")
     try:
         if urlsplit(uri).scheme in UNCHANGED_SCHEMES:
             return uri
-        full, home = urlsplit(urljoin(base, uri)), urlsplit(base)
+        full, origin = urlsplit(urljoin(base, uri)), urlsplit(base)
     except ValueError:
         raise BadManifest(f"{uri[:80]!r} is no usable URI") from None
-    if (full.scheme, full.netloc) != (home.scheme, home.netloc):
+    if (full.scheme, full.netloc) != (origin.scheme, origin.netloc):
         raise BadManifest(f"{uri[:80]!r} leads away from its box")
     return full.geturl()
 
 
 def rewrite(manifest: Manifest, base: str, playlist_url: Callable[[int], str], max_bandwidth: float) -> str:
-    """The manifest for one session: playlists lead through the router, all else straight to the box."""
+    """The manifest rewritten for one session.
+
+    Media playlists get the URL that `playlist_url` returns for their index and lead through the router; all
+    other URIs lead straight to the media server.  Variants over `max_bandwidth` (bits a second) are left out.
+    """
     allowed = set(manifest.allowed_renditions(max_bandwidth))
-    index = {one.uri: at for at, one in enumerate(manifest.renditions)}
+    index = {rendition.uri: number for number, rendition in enumerate(manifest.renditions)}
     written: list[str] = []
-    held: list[str] = []  # a variant's tag, until its URI tells whether it stays
+    pending: list[str] = []  # a variant's tag, until its URI decides whether it is kept
 
-    def place(uri: str) -> str:
+    def checked_playlist_url(uri: str) -> str:
         absolute_uri(uri, base)
         return playlist_url(index[uri])
 
@@ -144,26 +159,26 @@
         if line.startswith(DROPPED_TAGS):
             continue
         if line.startswith("#EXT-X-STREAM-INF:"):
-            held.append(line)
+            pending.append(line)
         elif line.startswith(PLAYLIST_TAGS):
             uri = URI_ATTRIBUTE.search(line)
             if uri is None:
                 written.append(line)
             elif manifest.renditions[index[uri[2]]] in allowed:
-                written.append(line[: uri.start(2)] + place(uri[2]) + line[uri.end(2) :])
+                written.append(line[: uri.start(2)] + checked_playlist_url(uri[2]) + line[uri.end(2) :])
         elif line.startswith("#") or not line.strip():
             written.append(URI_ATTRIBUTE.sub(lambda m: f'{m[1]}="{absolute_uri(m[2], base)}"', line))
         elif not manifest.is_multivariant:
             written.append(absolute_uri(line.strip(), base))
         else:
             if manifest.renditions[index[line.strip()]] in allowed:
-                written += [*held, place(line.strip())]
-            held.clear()
+                written += [*pending, checked_playlist_url(line.strip())]
+            pending.clear()
     return "\n".join(written).rstrip("\n") + "\n"
 
 
 def ended_playlist(manifest: Manifest | None) -> str:
-    """A playlist that names no box and tells the player that nothing follows."""
+    """An ended playlist that names no media server and continues the numbering of `manifest`."""
     target, sequence = (manifest.target_s, manifest.next_sequence) if manifest else (1, 0)
     return (
         f"#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:{target}\n"
--- a/cloverhinge/hls/media_servers.py
+++ b/cloverhinge/hls/media_servers.py
@@ -1,12 +1,12 @@
-"""Towards the media boxes' HTTP side: set-ups, releases, rungs and manifests.
+"""HTTP client of the media servers: set-ups, releases, rungs and manifests.
 
-    PUT /sessions/ID      {"class", "title", "rung", "wait_ms"}: 200 and a manifest when the session stands
-    GET /sessions/ID      its manifest as it is now
+    PUT /sessions/ID      {"class", "title", "rung", "wait_ms"}: 200 and a manifest once it is established
+    GET /sessions/ID      its current manifest
     PATCH /sessions/ID    {"rung"}
-    DELETE /sessions/ID   given up, or over
+    DELETE /sessions/ID   the set-up is given up, or the session is over
 
-A refusal of a set-up: 503 when the box turned it away before anything ran, 504 when it broke on its way; any
-other status is an error after which it may have run.
+A set-up is refused with 503 if the media server rejected it before anything ran, or with 504 if it was lost
+on the way; any other status is an error after which it may have run.
 """
 
 from __future__ import annotations
@@ -35,37 +35,37 @@
 from cloverhinge.discovery.updates import ServerAddress
 from cloverhinge.hls import manifests
 
-FETCH_TIMEOUT_MS = 1500.0
+FETCH_TIMEOUT_MS = 1500.0  # for one exchange other than a set-up
 MAX_RELEASE_TRIES = 4
-RELEASE_PAUSE_MS = 250.0
-MAX_RELEASES = 512
-MAX_BODY_BYTES = 16 * 1024  # of answers that hold no manifest
+RELEASE_PAUSE_MS = 250.0  # before the second try; doubled before each later one
+MAX_RELEASES = 512  # releases open at a time
+MAX_BODY_BYTES = 16 * 1024  # of answers without a manifest
 REFUSAL_OUTCOMES = {503: Outcome.FULL, 504: Outcome.RESET}
 
 
 class NotSent(Exception):
-    """The attempt ended before its first byte was written."""
+    """The attempt ended before the first byte of its request was written."""
 
 
 class AnswerTooLong(Exception):
-    """An answer is longer than this router reads."""
+    """An answer is longer than the limit."""
 
 
 class AnswerTimeout(Exception):
-    """The box took too long."""
+    """A media server gave no answer in time."""
 
 
 class SessionGone(Exception):
-    """The box doesn't hold the session."""
+    """The media server does not know the session."""
 
 
 class UnusableAnswer(Exception):
-    """The box gave no answer that can be used."""
+    """The media server gave no usable answer."""
 
 
 @implementer(IStreamClientEndpoint)
 class _CheckedEndpoint:
-    """Asks `check` between the connection and the first byte on it."""
+    """An endpoint that calls `check` once connected; where it is false, the connection is aborted unused."""
 
     def __init__(self, endpoint: Any, check: Callable[[], bool]) -> None:
         self.endpoint, self.check = endpoint, check
@@ -86,13 +86,13 @@
         self.reactor, self.connect_ms, self.check = reactor, connect_ms, check
 
     def endpointForURI(self, uri: Any) -> Any:
-        target = TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, self.connect_ms / 1000.0)
-        return _CheckedEndpoint(target, self.check)
+        endpoint = TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, self.connect_ms / 1000.0)
+        return _CheckedEndpoint(endpoint, self.check)
 
 
 @implementer(IBodyProducer)
 class _JsonBody:
-    """A short body, written in one piece."""
+    """A short JSON body, written in one piece."""
 
     def __init__(self, content: dict[str, Any]) -> None:
         self.data = json.dumps(content).encode()
@@ -113,7 +113,7 @@
 
 
 class _BodyReader(Protocol):
-    """Reads a body of at most so many bytes."""
+    """Reads a body of at most `max_bytes`; `done` fails with `AnswerTooLong` on a longer one."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes, self.data = max_bytes, bytearray()
@@ -135,11 +135,14 @@
             if isinstance(reason.value, ResponseDone):
                 self.done.callback(bytes(self.data))
             else:
-                self.done.errback(reason)  # cut short: what was read is not whole
+                self.done.errback(reason)  # the connection was cut and the body is incomplete
 
 
 class HlsServers:
-    """The core's `Boxes` over HTTP."""
+    """The core's `ServerPort` over HTTP, and the source of manifests.
+
+    A media server's HTTP address is the one in `addresses_by_name`, else its host with `default_port`.
+    """
 
     log = Logger()
 
@@ -169,10 +172,11 @@
         self.open_releases = 0
 
     def base_url(self, server: int) -> str | None:
-        box = self.servers.get(server)
-        if box is None:
+        """The URL of a media server's HTTP root, or None if the server is not listed."""
+        address = self.servers.get(server)
+        if address is None:
             return None
-        host, port = self.addresses_by_name.get(box.name, (box.host, self.default_port))
+        host, port = self.addresses_by_name.get(address.name, (address.host, self.default_port))
         return f"http://{host}:{port}/"
 
     async def _exchange(
@@ -180,91 +184,101 @@
         agent: Any,
         method: str,
         url: str,
-        told: dict[str, Any] | None,
-        most: int,
+        content: dict[str, Any] | None,
+        max_bytes: int,
     ) -> tuple[int, bytes]:
-        body = None if told is None else _JsonBody(told)
+        body = None if content is None else _JsonBody(content)
         headers = Headers({b"User-Agent": [b"cloverhinge"]})
-        if told is not None:
+        if content is not None:
             headers.addRawHeader(b"Content-Type", b"application/json")
         response = await agent.request(method.encode(), url.encode(), headers, body)
-        reader = _BodyReader(most)
+        reader = _BodyReader(max_bytes)
         response.deliverBody(reader)
         return response.code, await reader.done
 
     def _with_timeout(self, work: Any, ms: float) -> Deferred[Any]:
-        """Run it as a Deferred that is cancelled after so long."""
+        """Run a coroutine as a Deferred that is cancelled after `ms` and then fails with `AnswerTimeout`."""
         deferred: Deferred[Any] = ensureDeferred(work)
-        late: list[bool] = []
+        timed_out: list[bool] = []
 
         def expire() -> None:
-            late.append(True)
+            timed_out.append(True)
             deferred.cancel()
 
         key: DeadlineKey = self.deadlines.after(ms, expire)
 
         def stop(result: Any) -> Any:
             self.deadlines.cancel(key)
-            if late and isinstance(result, Failure):
+            if timed_out and isinstance(result, Failure):
                 raise AnswerTimeout
             return result
 
         return deferred.addBoth(stop)
 
-    # Boxes
+    # ServerPort
 
     def set_up(self, attempt: Attempt) -> None:
+        """Send a set-up; its result is reported to the router."""
         self.open_attempts[attempt] = None
         work = ensureDeferred(self._set_up(attempt))
         if attempt in self.open_attempts:
             self.open_attempts[attempt] = work
 
     async def _set_up(self, attempt: Attempt) -> None:
-        request, ask = attempt.request, attempt.request.set_up
+        request, set_up = attempt.request, attempt.request.set_up
         base = self.base_url(attempt.server)
         try:
             if base is None:
                 raise NotSent
-            url = f"{base}sessions/{ask.session_id}"
+            url = f"{base}sessions/{set_up.session_id}"
             wait_ms = max(1, round(attempt.until_ms - self.deadlines.clock.now()))
-            told = {
-                "class": ask.class_name,
-                "title": ask.title,
+            content = {
+                "class": set_up.class_name,
+                "title": set_up.title,
                 "wait_ms": wait_ms,
                 "rung": request.service_class.floor if request.rung is None else request.rung,
             }
-            # A connection of its own, never one of the pool: one that the box has closed meanwhile would
-            # leave open whether the set-up ran.
+            # A new connection, never a pooled one: if the media server had closed a pooled one meanwhile, it
+            # would be unknown whether the set-up ran.
             endpoints = _CheckedEndpointFactory(
                 self.reactor, self.connect_ms, lambda: self.router.may_write(attempt)
             )
             agent = Agent.usingEndpointFactory(self.reactor, endpoints)
-            status, body = await self._exchange(agent, "PUT", url, told, self.max_bytes)
+            status, body = await self._exchange(agent, "PUT", url, content, self.max_bytes)
             if status != 200:
                 self.router.attempt_ended(attempt, REFUSAL_OUTCOMES.get(status, Outcome.ERROR))
                 return
             manifest = manifests.parse(body, self.max_bytes)
             manifests.rewrite(manifest, url, lambda n: "", float("inf"))
             if not self.router.answered(attempt, body):
-                self.release_session(attempt.server, ask.session_id)
+                self.release_session(attempt.server, set_up.session_id)
         except NotSent:
             self.router.attempt_ended(attempt, Outcome.MOOT)
         except (manifests.BadManifest, AnswerTooLong) as error:
-            # It stands at the box, but nobody can play it.
-            self.log.warn("box {box}: {error}", box=attempt.server, error=str(error) or "manifest too long")
+            # The session is established at the media server, but nobody can play it.
+            self.log.warn(
+                "media server {server}: unusable manifest in the answer to a set-up: {error}",
+                server=attempt.server,
+                error=str(error) or "manifest too long",
+            )
             self.router.attempt_ended(attempt, Outcome.ERROR)
-            self.release_session(attempt.server, ask.session_id)
-        except Exception as error:  # whatever became of the connection
+            self.release_session(attempt.server, set_up.session_id)
+        except Exception as error:  # any failure of the connection
             if attempt not in self.open_attempts:
-                return  # given up, which broke it off: `give_up` has told the box
-            self.log.info("box {box}: set-up broke: {error}", box=attempt.server, error=repr(error)[:200])
+                return  # cancelled by `give_up`, which releases the session itself
+            self.log.info(
+                "media server {server}: set-up failed: {error}",
+                server=attempt.server,
+                error=repr(error)[:200],
+            )
             self.router.attempt_ended(attempt, Outcome.RESET if attempt.written else Outcome.CONNECT_FAILED)
             if attempt.written:
-                self.release_session(attempt.server, ask.session_id)
+                self.release_session(attempt.server, set_up.session_id)
         finally:
             self.open_attempts.pop(attempt, None)
 
     def give_up(self, attempt: Attempt) -> None:
+        """Cancel a set-up; if it was written, the session that it may have made is released."""
         work = self.open_attempts.pop(attempt, None)
         if work is not None:
             work.cancel()
@@ -272,44 +286,52 @@
             self.release_session(attempt.server, attempt.request.set_up.session_id)
 
     def release(self, request: Request, cause: Cause) -> None:
+        """Release an established session; the cause is not sent over HTTP."""
         if request.server is not None:
             self.release_session(request.server, request.set_up.session_id)
 
-    def release_session(self, server: int, name: str) -> None:
+    def release_session(self, server: int, session_id: str) -> None:
+        """Release a session at a media server, with retries; dropped if too many releases are open."""
         base = self.base_url(server)
         if base is not None and self.open_releases < MAX_RELEASES:
             self.open_releases += 1
-            self._with_timeout(self._delete(f"{base}sessions/{name}"), 8000.0).addBoth(self._released)
+            self._with_timeout(self._delete(f"{base}sessions/{session_id}"), 8000.0).addBoth(self._released)
 
     def _released(self, result: Any) -> None:
         self.open_releases -= 1
 
     async def _delete(self, url: str) -> None:
-        for tried in range(MAX_RELEASE_TRIES):
+        for tries in range(MAX_RELEASE_TRIES):
             try:
-                asked = self._exchange(self.agent, "DELETE", url, None, MAX_BODY_BYTES)
-                status, _ = await self._with_timeout(asked, FETCH_TIMEOUT_MS)
+                exchange = self._exchange(self.agent, "DELETE", url, None, MAX_BODY_BYTES)
+                status, _ = await self._with_timeout(exchange, FETCH_TIMEOUT_MS)
                 if status < 500:
                     return
             except Exception as error:
-                self.log.info("release of {url}: {error}", url=url, error=repr(error)[:200])
+                self.log.info("release of {url} failed: {error}", url=url, error=repr(error)[:200])
             pause: Deferred[None] = Deferred()
-            self.deadlines.after(RELEASE_PAUSE_MS * 2**tried, partial(pause.callback, None))
+            self.deadlines.after(RELEASE_PAUSE_MS * 2**tries, partial(pause.callback, None))
             await pause
 
     def set_rung(self, request: Request, rung: int) -> None:
+        """Tell the media server the session's new rung, once and without waiting for the answer."""
         base = self.base_url(request.server or 0)
         if base is not None:
             url = f"{base}sessions/{request.set_up.session_id}"
-            asked = self._exchange(self.agent, "PATCH", url, {"rung": rung}, MAX_BODY_BYTES)
-            self._with_timeout(asked, FETCH_TIMEOUT_MS).addErrback(
-                lambda failure: self.log.info("rung: {error}", error=repr(failure.value)[:200])
+            exchange = self._exchange(self.agent, "PATCH", url, {"rung": rung}, MAX_BODY_BYTES)
+            self._with_timeout(exchange, FETCH_TIMEOUT_MS).addErrback(
+                lambda failure: self.log.info(
+                    "change of rung failed: {error}", error=repr(failure.value)[:200]
+                )
             )
 
     # Manifests
 
     async def fetch(self, url: str) -> manifests.Manifest:
-        """A manifest as it is now; raises `Gone`, `Unusable`, `BadManifest`, or `Late`."""
+        """The current manifest at a URL.
+
+        Raises `SessionGone`, `UnusableAnswer`, `BadManifest`, `AnswerTooLong` or `AnswerTimeout`.
+        """
         try:
             status, body = await self._with_timeout(
                 self._exchange(self.agent, "GET", url, None, self.max_bytes), FETCH_TIMEOUT_MS
--- a/cloverhinge/hls/plays.py
+++ b/cloverhinge/hls/plays.py
@@ -1,7 +1,7 @@
-"""What a player wants, over all its fetches: one play, kept under the id that the player chose.
+"""Plays: the state that all fetches of one player share, stored under the play id that the player chose.
 
-The play id is the idempotency key.  A fetch joins the set-up that is under way, or gets what stands; only
-where the rules allow a set-up anew does it ask the core again.
+The play id is the idempotency key.  A fetch joins the set-up in progress or gets the established session.  It
+requests another set-up from the core only where the class of service allows one.
 """
 
 from __future__ import annotations
@@ -23,11 +23,15 @@
 
 MAX_PLAYS = 2048
 MAX_WAITERS = 64  # fetches that may wait for one set-up
-BUSY_RETRY_AFTER_MS = 1000.0
+BUSY_RETRY_AFTER_MS = 1000.0  # the shortest retry-after of a refusal
 
 
 class FetchFailed(Exception):
-    """A fetch ends without a manifest: its status, and when to come back."""
+    """A fetch ends without a manifest.
+
+    `status` is the HTTP status and `reason` the text of the answer; `retry_after_ms` and `reservation_token`
+    go into the fields of a 503.
+    """
 
     def __init__(
         self, status: int, reason: str, retry_after_ms: float = 0.0, reservation_token: str = ""
@@ -42,12 +46,12 @@
 
 
 class PlayEnded(Exception):
-    """The play has ended: its playlist ends."""
+    """The play has ended; the fetch is answered with an ended playlist."""
 
 
 @dataclass(frozen=True, slots=True)
 class Waiter:
-    """A fetch that waits for a set-up, and whether its player is still connected."""
+    """A fetch that waits for a set-up; `connected` tells whether its player still has the connection open."""
 
     connected: Callable[[], bool]
     done: Deferred[None] = field(default_factory=Deferred)
@@ -55,26 +59,29 @@
 
 @dataclass(eq=False)
 class Play:
+    """One viewing of a title by one player."""
+
     play_id: str
     class_name: str
     title_name: str
     title: Title
     paid: bool
-    peer_address: str = ""  # the address of its last fetch
-    client_number: int = -1  # the door's number of the client that vouched for it
+    peer_address: str = ""  # address of the last fetch
+    client_number: int = -1  # admission's number of the client that vouched for the last fetch; -1: none
     reservation_token: str = ""
     token: str = field(default_factory=lambda: secrets.token_hex(16))
     handle: int = 0
-    request: Request | None = None  # the set-up under way, or the session that stands
-    set_up_answer: bytes | None = None  # the set-up's manifest, until it is given out
-    manifest: manifests.Manifest | None = None  # the last one that the box gave for /play
+    request: Request | None = None  # the set-up in progress, or the established session
+    set_up_answer: bytes | None = None  # the manifest that answered the set-up, until a fetch has used it
+    manifest: manifests.Manifest | None = None  # the media server's last manifest for /play
     media_playlist: manifests.Manifest | None = None  # the last media playlist
-    final_failure: FetchFailed | None = None  # of a paid set-up that may have run: it stays
+    final_failure: FetchFailed | None = None  # of a paid set-up that may have run: every later fetch gets it
     ended: bool = False
     waiters: list[Waiter] = field(default_factory=list)
     expiry: DeadlineKey | None = None
 
     def wake_waiters(self, error: Exception | None = None) -> None:
+        """Resume all waiting fetches, or fail them with `error`."""
         waiters, self.waiters = self.waiters, []
         for waiter in waiters:
             if error is None:
@@ -84,67 +91,89 @@
 
 
 class PlayClient:
-    """The core's `Viewer` for one set-up of a play."""
+    """The core's `ClientPort` for one set-up of a play."""
 
     def __init__(self, plays: Plays, play: Play) -> None:
         self.plays, self.play = plays, play
         self.failure: Exception | None = None
-        self.first_fetch_waits = False  # the fetch that started the set-up waits for it
+        self.first_fetch_waits = False  # the fetch that started the set-up is among the waiters
 
     def presence(self) -> Presence:
-        """There while one of the fetches that wait has its player; later ones join the set-up."""
-        waits = not self.first_fetch_waits or any(waiter.connected() for waiter in self.play.waiters)
-        return Presence.PRESENT if waits else Presence.GONE
+        """Present while the player of any waiting fetch is connected, since later fetches join the set-up."""
+        present = not self.first_fetch_waits or any(waiter.connected() for waiter in self.play.waiters)
+        return Presence.PRESENT if present else Presence.GONE
 
     def left(self, may_have_run: bool) -> None:
-        final = FetchFailed(502, "the set-up failed while nobody waited for it")
+        """All players have disconnected; a paid set-up that may have run is not repeated."""
+        failure = FetchFailed(502, "the set-up failed while nobody waited for it")
         if self.play.paid and may_have_run:
-            self.play.final_failure = final
-        self._fail(final)
+            self.play.final_failure = failure
+        self._fail(failure)
 
     def served(self, answer: bytes) -> None:
+        """The session is established; `answer` is its manifest."""
         self.play.set_up_answer = answer
         self.play.wake_waiters()
 
-    def refused(self, hold_off_ms: float, ticket: str = "") -> None:
-        self._fail(FetchFailed(503, "no room now", max(hold_off_ms, BUSY_RETRY_AFTER_MS), ticket))
+    def refused(self, retry_after_ms: float, reservation_token: str = "") -> None:
+        """The set-up was refused; a later fetch may start another."""
+        self._fail(
+            FetchFailed(503, "no room now", max(retry_after_ms, BUSY_RETRY_AFTER_MS), reservation_token)
+        )
 
-    def failed(self, why: Outcome | None) -> None:
-        late = why in (Outcome.TIMEOUT, None)
-        final = FetchFailed(504, "no answer in time") if late else FetchFailed(502, "the set-up failed")
+    def failed(self, outcome: Outcome | None) -> None:
+        """The set-up failed with `outcome`; a timeout, or None, is reported as no answer in time."""
+        timed_out = outcome in (Outcome.TIMEOUT, None)
+        failure = (
+            FetchFailed(504, "no answer in time") if timed_out else FetchFailed(502, "the set-up failed")
+        )
         if self.play.paid:
-            self.play.final_failure = final  # a failed paid set-up may have run: no fetch starts another
-        self._fail(final)
+            self.play.final_failure = failure  # a failed paid set-up may have run: no fetch starts another
+        self._fail(failure)
 
-    def _fail(self, final: FetchFailed) -> None:
-        self.failure = final
+    def _fail(self, failure: FetchFailed) -> None:
+        self.failure = failure
         self.play.request = None
-        self.play.wake_waiters(final)
+        self.play.wake_waiters(failure)
 
     def released(self, cause: Cause) -> None:
+        """The session is over; a repeatable one may be set up again unless it was played to its end."""
         self.play.request = None
         self.play.ended = self.play.paid or cause is Cause.ENDED
 
     def moved(self) -> None:
+        """The session was moved away; a repeatable one is set up again at the next fetch."""
         self.play.request, self.play.ended = None, self.play.paid
 
 
 class PlayOwnership(Protocol):
-    """Of plays that other routers may know of."""
+    """Ownership of plays whose records are replicated at other routers."""
 
     def token(self, key: str) -> str:
-        """The same at each router, so that a session's addresses are good at all."""
+        """The play's token, equal at every router, so that a session's URLs are valid at all of them."""
 
     async def claim(self, play: Play) -> None:
-        """Before it is set up: it is this router's then, stands already, or `Final` or `Over` is raised."""
+        """Claim the play for this router before it is set up.
+
+        On return the play is owned here, and its session may have been taken over with it.  Raises
+        `FetchFailed` or `PlayEnded` where it can't be set up here.
+        """
 
     async def find(self, token: str) -> None:
-        """Takes a session that stands over, where one does; `Final` where that can't be told now."""
+        """Take over the established session of a token, if there is one.
+
+        Raises `FetchFailed` where that can't be determined now.
+        """
 
     def forgot(self, play: Play) -> None: ...
 
 
 class Plays:
+    """All plays of this router's HLS front, by play id and by token.
+
+    A play expires `idle_ms` after its last fetch, later while a complete recording is being watched.
+    """
+
     def __init__(
         self,
         router: Router,
@@ -161,7 +190,10 @@
         self.by_token: dict[str, Play] = {}
 
     def find_or_add(self, play_id: str, class_name: str, title_name: str, title: Title) -> Play:
-        """The play of this id, new or held."""
+        """The play of this id, created if there is none.
+
+        Raises `FetchFailed` if the id is in use for another class or title, or if there are too many plays.
+        """
         play = self.by_id.get(play_id)
         if play is not None:
             if (play.class_name, play.title_name) != (class_name, title_name):
@@ -169,8 +201,8 @@
             return play
         if self.table.full:
             raise FetchFailed(503, "too many plays", BUSY_RETRY_AFTER_MS)
-        kind = self.router.classes[class_name]
-        play = Play(play_id, class_name, title_name, title, kind.effect is not Effect.REPEATABLE)
+        service_class = self.router.classes[class_name]
+        play = Play(play_id, class_name, title_name, title, service_class.effect is not Effect.REPEATABLE)
         if self.ownership is not None:
             play.token = self.ownership.token(play_id)
         play.handle = self.table.put(play)
@@ -179,25 +211,27 @@
         return play
 
     def touch(self, play: Play) -> None:
-        """A fetch came: the play lasts for the idle time, and while a whole recording is being watched."""
-        ahead = (
+        """Restart the play's idle time; the duration of a complete recording is added, as its player may not
+        fetch a playlist again while it is being watched."""
+        remaining_ms = (
             play.media_playlist.duration_ms
             if play.media_playlist is not None and play.media_playlist.complete
             else 0.0
         )
         self.deadlines.cancel(play.expiry)
-        play.expiry = self.deadlines.after(self.idle_ms + ahead, lambda: self._expired(play))
+        play.expiry = self.deadlines.after(self.idle_ms + remaining_ms, lambda: self._expired(play))
 
     def _expired(self, play: Play) -> None:
         play.expiry = None
         if play.request is not None and play.request.state is State.OPEN:
-            self.touch(play)  # an answer is still owed
+            self.touch(play)  # the set-up has not been answered yet
             return
         if play.request is not None:
             self.router.viewer_left(play.request)
         self.forget(play)
 
     def forget(self, play: Play) -> None:
+        """Drop a play and its ownership; the session, if any, is not released here."""
         self.deadlines.cancel(play.expiry)
         play.expiry = None
         self.table.free(play.handle)
@@ -207,11 +241,12 @@
             self.ownership.forgot(play)
 
     async def established_session(self, play: Play, connected: Callable[[], bool] = lambda: True) -> Request:
-        """The session that stands for this play, at a box that may be named; set up where it may be.
+        """The play's established session, at a media server that may be sent to; set up if that is allowed.
 
-        No attempt at a set-up begins once no fetch that waits for it is `connected`.
+        No attempt at a set-up begins once no fetch that waits for it is `connected`.  Raises `FetchFailed` or
+        `PlayEnded` where there is no session to return.
         """
-        for _ in range(3):  # what was set up may have to be set up elsewhere once
+        for _ in range(3):  # a session may have to be set up once more, at another media server
             if self.ownership is not None and self.by_id.get(play.play_id) is not play:
                 raise FetchFailed(503, "another router has this play now", BUSY_RETRY_AFTER_MS)
             if play.ended:
@@ -220,14 +255,14 @@
                 raise play.final_failure
             request = play.request
             if request is not None and request.state is State.OVER:
-                # Ended by its box without a word for the viewer, as a cancelled session is.
+                # Ended by its media server without a call to `released`, as a cancelled session is.
                 request, play.request, play.ended = None, None, play.paid
                 if play.ended:
                     raise PlayEnded
             if request is not None and request.state is State.ESTABLISHED:
                 if self.router.sendable(request.server or 0):
                     return request
-                # The box drains.  A repeatable session is set up elsewhere; a paid one ends here.
+                # The media server is draining: a repeatable session is set up elsewhere, a paid one ends.
                 self.router.viewer_left(request)
                 play.request, play.ended = None, play.paid
                 continue
@@ -235,7 +270,7 @@
                 await self.ownership.claim(play)
                 request = play.request
                 if request is not None and request.state is State.ESTABLISHED:
-                    continue  # taken over
+                    continue  # taken over from another router
             if request is None:
                 self._start(play)
             if play.request is not None and play.request.state is State.OPEN:
@@ -251,17 +286,17 @@
         raise FetchFailed(503, "the session was lost while it was set up", BUSY_RETRY_AFTER_MS)
 
     def _start(self, play: Play) -> None:
-        title, kind = play.title, self.router.classes[play.class_name]
-        viewer = PlayClient(self, play)
+        title, service_class = play.title, self.router.classes[play.class_name]
+        client = PlayClient(self, play)
         play.set_up_answer = None
-        ask = SetUpRequest(
+        set_up = SetUpRequest(
             self.new_session_id(),
             play.class_name,
             play.title_name,
             title.first_cell,
             title.copies,
             title.ceiling,
-            kind.deadline_us / 1000.0,
+            service_class.deadline_us / 1000.0,
             length_ms=title.length_ms,
             viewer_id=play.play_id,
             peer_address=play.peer_address,
@@ -270,9 +305,9 @@
             retry_after_step_ms=BUSY_RETRY_AFTER_MS,
             record_id=f"h/{play.token}" if self.ownership is not None else "",
         )
-        request = self.router.open_request(ask, viewer, self.servers)
+        request = self.router.open_request(set_up, client, self.servers)
         if request is None:
             raise FetchFailed(503, "too many requests", BUSY_RETRY_AFTER_MS)
-        if viewer.failure is not None:
-            raise viewer.failure
+        if client.failure is not None:
+            raise client.failure
         play.request = request
--- a/cloverhinge/hls/replicated_plays.py
+++ b/cloverhinge/hls/replicated_plays.py
@@ -28,7 +28,7 @@
 
     def __init__(self, part: Part, plays: Plays, boxes: HlsServers, site: HlsSettings) -> None:
         self.part, self.plays, self.boxes, self.titles = part, plays, boxes, site.titles
-        self.key = hashlib.sha256(b"cloverhinge play\0" + site.signing_key).digest()
+        self.key = hashlib.sha256(b"cloverhinge play\0" + site.url_key).digest()
         plays.ownership = self
         longest = max((x.length_ms for x in site.titles.values()), default=0.0)
         part.serve(LETTER, self, site.idle_ms + longest)
--- a/cloverhinge/site/model.py
+++ b/cloverhinge/site/model.py
@@ -21,7 +21,7 @@
 @dataclass(frozen=True, slots=True)
 class HlsSettings:
     listen: tuple[str, int]
-    signing_key: bytes  # signs session URLs
+    url_key: bytes  # signs session URLs
     idle_ms: float
     max_manifest_bytes: int
     server_port: int
--- a/cloverhinge/site/schema.py
+++ b/cloverhinge/site/schema.py
@@ -208,7 +208,7 @@
         )
     return HlsSettings(
         listen=parse_host_port(own.listen, "hls.listen"),
-        signing_key=parse_key(own.key, "hls.key", MIN_KEY_LENGTH),
+        url_key=parse_key(own.key, "hls.key", MIN_KEY_LENGTH),
         idle_ms=own.idle_s * 1000.0,
         max_manifest_bytes=int(own.manifest_kb * 1024),
         server_port=own.box_port,
