--- a/cloverhinge/acme/__init__.py
+++ b/cloverhinge/acme/__init__.py
@@ -1,1 +1,1 @@
-"""Certificates by ACME (RFC 8555): http-01, renewal in time, swapped live."""
+"""Certificates by ACME (RFC 8555) with http-01 challenges; renewed before they expire, without a restart."""
--- a/cloverhinge/acme/issue.py
+++ b/cloverhinge/acme/issue.py
@@ -1,4 +1,4 @@
-"""One order from start to certificate.  Blocks, so it runs in a thread of its own."""
+"""One ACME order, from the account to the certificate.  Blocks, so it must run in its own thread."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from cryptography.hazmat.primitives.asymmetric import ec, rsa
 from josepy.jwk import JWKRSA
 
-CALL_TIMEOUT_S = 10  # for one call of the authority
-ORDER_TIMEOUT_S = 90  # for a whole order
+CALL_TIMEOUT_S = 10  # for one request to the authority
+ORDER_TIMEOUT_S = 90  # for the authority to validate the domains and issue the certificate
 
 
 class IssueError(Exception):
@@ -21,6 +21,8 @@
 
 @dataclass(frozen=True, slots=True)
 class IssuedCertificate:
+    """A private key and its certificate chain, leaf first, both as PEM."""
+
     key_pem: bytes
     chain_pem: bytes
 
@@ -32,6 +34,7 @@
 
 
 def new_account_key() -> bytes:
+    """A new RSA key for an ACME account, as PEM."""
     return _private_pem(rsa.generate_private_key(65537, 2048))
 
 
@@ -43,14 +46,18 @@
     account_pem: bytes,
     proofs: MutableMapping[str, str],
 ) -> IssuedCertificate:
-    """`proofs` is what the front answers to challenges; each proof is taken away again at the end."""
-    placed: list[str] = []
+    """Obtain a certificate for `domains` from the authority at `directory`; raises `IssueError`.
+
+    `proofs` maps the tokens of challenges to what the HLS front answers; the proofs of this order are removed
+    at its end.  `ca_file` holds the CA certificates to verify the authority with, by default the system's.
+    """
+    added_tokens: list[str] = []
     try:
-        return _complete_order(directory, domains, contact, ca_file, account_pem, proofs, placed)
+        return _complete_order(directory, domains, contact, ca_file, account_pem, proofs, added_tokens)
     except (errors.Error, messages.Error, OSError, ValueError) as error:
         raise IssueError(f"{type(error).__name__}: {error}"[:300]) from error
     finally:
-        for token in placed:
+        for token in added_tokens:
             proofs.pop(token, None)
 
 
@@ -61,7 +68,7 @@
     ca_file: str,
     account_pem: bytes,
     proofs: MutableMapping[str, str],
-    placed: list[str],
+    added_tokens: list[str],
 ) -> IssuedCertificate:
     account = JWKRSA.load(account_pem)
     net = client.ClientNetwork(
@@ -71,11 +78,11 @@
         timeout=CALL_TIMEOUT_S,
     )
     authority = client.ClientV2(client.ClientV2.get_directory(directory, net), net)
-    wanted = messages.NewRegistration.from_data(email=contact or None, terms_of_service_agreed=True)
+    registration = messages.NewRegistration.from_data(email=contact or None, terms_of_service_agreed=True)
     try:
-        authority.new_account(wanted)
-    except errors.ConflictError as known:  # the account of an earlier start
-        net.account = messages.RegistrationResource(uri=known.location, body=messages.Registration())
+        authority.new_account(registration)
+    except errors.ConflictError as existing:  # the account was registered by an earlier start
+        net.account = messages.RegistrationResource(uri=existing.location, body=messages.Registration())
     key_pem = _private_pem(ec.generate_private_key(ec.SECP256R1()))
     order = authority.new_order(crypto_util.make_csr(key_pem, list(domains)))
     for authorization in order.authorizations:
@@ -87,8 +94,8 @@
         response, proof = offered[0].chall.response_and_validation(account)
         token = offered[0].chall.encode("token")
         proofs[token] = proof
-        placed.append(token)
+        added_tokens.append(token)
         authority.answer_challenge(offered[0], response)
     deadline = datetime.datetime.now() + datetime.timedelta(seconds=ORDER_TIMEOUT_S)
-    done = authority.poll_and_finalize(order, deadline)
-    return IssuedCertificate(key_pem, done.fullchain_pem.encode())
+    finalized = authority.poll_and_finalize(order, deadline)
+    return IssuedCertificate(key_pem, finalized.fullchain_pem.encode())
--- a/cloverhinge/acme/renewal.py
+++ b/cloverhinge/acme/renewal.py
@@ -1,4 +1,4 @@
-"""Keeps a certificate: the one of an earlier start, a renewal in time, a swap without a restart."""
+"""Keeps a valid certificate: loads the stored one, renews it before it expires, and swaps it at run time."""
 
 from __future__ import annotations
 
@@ -20,17 +20,22 @@
 from cloverhinge.core.deadlines import Deadlines
 from cloverhinge.site import AcmeSettings
 
-RETRY_DELAYS_S = (60.0, 6 * 3600.0)  # pause after a failed order, doubled up to the second figure
-RENEWAL_LIFETIME_FRACTION = 2 / 3  # a certificate of short life is renewed after this part of it
+RETRY_DELAYS_S = (
+    60.0,
+    6 * 3600.0,
+)  # delay after a failed order: the first, doubled each time up to the second
+RENEWAL_LIFETIME_FRACTION = 2 / 3  # a short-lived certificate is renewed after this part of its lifetime
 
 
 def tls_context(issued: IssuedCertificate) -> tuple[Any, x509.Certificate]:
-    """The TLS context for a certificate; raises ValueError where key and chain don't fit."""
+    """The TLS context for a certificate, and the leaf; raises ValueError where key and chain don't match."""
     chain = x509.load_pem_x509_certificates(issued.chain_pem)
     key = KeyPair.load(issued.key_pem, 1)
     leaf = PrivateCertificate.fromCertificateAndKeyPair(Certificate.loadPEM(issued.chain_pem), key)
-    rest = [Certificate.loadPEM(one.public_bytes(_pem_encoding())).original for one in chain[1:]]
-    options = CertificateOptions(privateKey=key.original, certificate=leaf.original, extraCertChain=rest)
+    intermediates = [Certificate.loadPEM(x.public_bytes(_pem_encoding())).original for x in chain[1:]]
+    options = CertificateOptions(
+        privateKey=key.original, certificate=leaf.original, extraCertChain=intermediates
+    )
     return options.getContext(), chain[0]
 
 
@@ -42,7 +47,7 @@
 
 @implementer(IOpenSSLServerConnectionCreator)
 class LiveContext:
-    """Gives each new connection the certificate of the moment; open ones keep theirs."""
+    """Gives each new connection the current certificate; open connections keep theirs."""
 
     def __init__(self) -> None:
         self.context: Any = None
@@ -54,19 +59,24 @@
 
 
 class CertificateRenewal:
+    """Obtains the certificate of a site and renews it `renew_before_s` before its end.
+
+    A failed order is repeated after a growing delay; the current certificate stays in use meanwhile.
+    """
+
     log = Logger()
 
     def __init__(
         self,
-        site: AcmeSettings,
+        settings: AcmeSettings,
         deadlines: Deadlines,
         call_from_thread: Callable[..., Any],
-        ready: Callable[[], None],
+        on_first_certificate: Callable[[], None],
         rng: random.Random,
     ) -> None:
-        """`ready` is called once, when there is a first certificate."""
-        self.settings, self.deadlines, self.rng = site, deadlines, rng
-        self.call_from_thread, self.on_first_certificate = call_from_thread, ready
+        """`on_first_certificate` is called once, when there is a certificate to serve with."""
+        self.settings, self.deadlines, self.rng = settings, deadlines, rng
+        self.call_from_thread, self.on_first_certificate = call_from_thread, on_first_certificate
         self.live = LiveContext()
         self.proofs: dict[str, str] = {}
         self.expires_ms: float | None = None
@@ -75,30 +85,36 @@
         self.account_pem: bytes | None = None
 
     def start(self) -> None:
+        """Use the stored certificate if it is valid, else order one."""
         self.account_pem = self._load("account.pem")
         key, chain = self._load("key.pem"), self._load("chain.pem")
         if key and chain:
             try:
                 self._swap(IssuedCertificate(key, chain))
-            except Exception as error:  # whatever OpenSSL makes of a damaged file
-                self.log.warn("the kept certificate can't be used: {error}", error=repr(error)[:200])
+            except Exception as error:  # OpenSSL raises several types on a damaged file
+                self.log.warn("the stored certificate can't be used: {error}", error=repr(error)[:200])
         if self.expires_ms is None:
             self._start_order()
 
-    # The order runs in a thread: the library's calls block, and the reactor must not wait for them.  It is a
-    # daemon, so that an authority that stands still can't hold the program's end up.
+    # An order runs in a thread, since the library's calls block and must not stop the reactor.  The thread is
+    # a daemon, so that an authority that does not answer can't delay the end of the program.
 
     def _start_order(self) -> None:
         threading.Thread(target=self._run_order, name="acme", daemon=True).start()
 
     def _run_order(self) -> None:
-        site = self.settings
+        settings = self.settings
         try:
             if self.account_pem is None:
                 self.account_pem = new_account_key()
                 self._save("account.pem", self.account_pem)
             issued = issue(
-                site.directory, site.domains, site.contact, site.ca_file, self.account_pem, self.proofs
+                settings.directory,
+                settings.domains,
+                settings.contact,
+                settings.ca_file,
+                self.account_pem,
+                self.proofs,
             )
         except Exception as error:
             self.call_from_thread(self._failed, error)
@@ -115,41 +131,41 @@
         self._save("chain.pem", issued.chain_pem)
 
     def _failed(self, error: BaseException) -> None:
-        """The old certificate stays; the next try comes later and later."""
+        """Schedule another order, after a delay that doubles; the current certificate stays in use."""
         self.error = str(error)[:300]
-        pause_s = min(RETRY_DELAYS_S[0] * 2**self.failures, RETRY_DELAYS_S[1]) * self.rng.uniform(0.8, 1.2)
-        if self.expires_ms is not None:  # never later than halfway to the end of what is left
+        delay_s = min(RETRY_DELAYS_S[0] * 2**self.failures, RETRY_DELAYS_S[1]) * self.rng.uniform(0.8, 1.2)
+        if self.expires_ms is not None:  # at the latest after half of the time that the certificate has left
             left_s = (self.expires_ms - self.deadlines.clock.now()) / 1000.0
-            pause_s = max(1.0, min(pause_s, left_s / 2)) if left_s > 0 else pause_s
+            delay_s = max(1.0, min(delay_s, left_s / 2)) if left_s > 0 else delay_s
         self.failures += 1
         self.log.warn(
-            "no certificate: {error}; next try in {pause} s", error=self.error, pause=round(pause_s)
+            "certificate order failed: {error}; next try in {delay} s", error=self.error, delay=round(delay_s)
         )
-        self.deadlines.after(pause_s * 1000.0, self._start_order)
+        self.deadlines.after(delay_s * 1000.0, self._start_order)
 
     def _swap(self, issued: IssuedCertificate) -> None:
         context, leaf = tls_context(issued)
         now = self.deadlines.clock.now()
-        begins = leaf.not_valid_before_utc.astimezone(UTC).timestamp() * 1000.0
-        expires = leaf.not_valid_after_utc.astimezone(UTC).timestamp() * 1000.0
-        if expires <= now:
+        begins_ms = leaf.not_valid_before_utc.astimezone(UTC).timestamp() * 1000.0
+        expires_ms = leaf.not_valid_after_utc.astimezone(UTC).timestamp() * 1000.0
+        if expires_ms <= now:
             raise ValueError("the certificate has expired")
         first = self.live.context is None
-        self.live.context, self.expires_ms = context, expires
-        renew = max(
-            expires - self.settings.renew_before_s * 1000.0,
-            begins + (expires - begins) * RENEWAL_LIFETIME_FRACTION,
+        self.live.context, self.expires_ms = context, expires_ms
+        renew_ms = max(
+            expires_ms - self.settings.renew_before_s * 1000.0,
+            begins_ms + (expires_ms - begins_ms) * RENEWAL_LIFETIME_FRACTION,
         )
-        self.deadlines.schedule(max(renew, now + 1000.0), self._start_order)
+        self.deadlines.schedule(max(renew_ms, now + 1000.0), self._start_order)
         self.log.info(
-            "certificate for {names}: good for {days} days",
+            "certificate for {names}: valid for {days} days",
             names=", ".join(self.settings.domains),
-            days=round((expires - now) / 86_400_000.0, 1),
+            days=round((expires_ms - now) / 86_400_000.0, 1),
         )
         if first:
             self.on_first_certificate()
 
-    # What outlives a restart, where the site names a folder for it
+    # Files that are kept over a restart, where the site names a folder for them
 
     def _load(self, name: str) -> bytes | None:
         if self.settings.state is None:
@@ -165,9 +181,9 @@
         path: Path = self.settings.state / name
         try:
             self.settings.state.mkdir(parents=True, exist_ok=True)
-            handle = os.open(path.with_suffix(".new"), os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
-            with os.fdopen(handle, "wb") as file:
+            descriptor = os.open(path.with_suffix(".new"), os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+            with os.fdopen(descriptor, "wb") as file:
                 file.write(data)
             path.with_suffix(".new").replace(path)
         except OSError as error:
-            self.log.warn("{path} can't be kept: {error}", path=str(path), error=error.strerror)
+            self.log.warn("{path} can't be written: {error}", path=str(path), error=error.strerror)
--- a/cloverhinge/site/__init__.py
+++ b/cloverhinge/site/__init__.py
@@ -1,6 +1,6 @@
-"""Our own configuration: the site's file under deploy/, and one schema for each subsystem's table.
+"""The site's configuration: its file under deploy/, with one table for each component that it turns on.
 
-May use core/.  Must not know the parts that it configures: they take what `model.py` holds.
+May use core/.  Must not import the components that it configures: they take the settings in `model.py`.
 """
 
 from __future__ import annotations
@@ -34,7 +34,9 @@
 
 
 def read(path: Path) -> Site:
-    """The site that a file describes; ConfigError in one plain sentence where it can't be."""
-    from cloverhinge.site import schema  # its library is loaded only where there is a file to read
+    """Read a site's file; raises ConfigError with one sentence on what is wrong."""
+    from cloverhinge.site import (
+        schema,
+    )  # imported here, as msgspec is loaded only where there is a file to read
 
     return schema.read(path)
--- a/cloverhinge/site/schema.py
+++ b/cloverhinge/site/schema.py
@@ -1,6 +1,6 @@
-"""The tables of the site's file: their keys, units, defaults and ranges; unknown keys are refused.
+"""Schema of the site's file: tables with their keys, units, defaults and ranges; unknown keys are refused.
 
-Every message is one plain sentence that names the key by its full path.
+Every error message is one sentence that names the key by its full path.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
     Title,
 )
 
-MIN_KEY_LENGTH = 32  # characters, of keys that sign for the router
-MIN_CLIENT_KEY_LENGTH = 16  # of keys under which a client's page vouches
-MAX_JOIN_ADDRESSES = 64  # addresses to join: each is asked twice a second while none answers
-MAX_CLIENTS = 64  # each may have a bucket and a table of its own in memory
-OTHER_CLIENTS = "others"  # the client of all whom nobody vouches for
+MIN_KEY_LENGTH = 32  # characters; keys that the router itself signs with
+MIN_CLIENT_KEY_LENGTH = 16  # characters; keys that sign the proofs of a client's pages
+MAX_JOIN_ADDRESSES = 64  # each is sent two join requests a second while none answers
+MAX_CLIENTS = 64  # each may have its own bucket and table in memory
+OTHER_CLIENTS = "others"  # the client of all viewers that no other client vouches for
 NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
 TABLES = ("hls", "acme", "admin", "door", "clients", "members", "custody", "store")
 
@@ -41,14 +41,18 @@
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file: each field a key."""
+    """A table of the file; each field is a key."""
 
 
 class AdminTable(Table):
+    """Table [admin]: the admin socket."""
+
     listen: str
 
 
 class TitleTable(Table):
+    """Table [hls.titles.NAME]: one title; a `length_s` of 0 means that its length is unknown."""
+
     copies: Annotated[int, Meta(ge=1)]
     home: NonNegativeInt = 0
     top: NonNegativeInt = 255
@@ -57,6 +61,8 @@
 
 
 class HlsTable(Table):
+    """Table [hls]: the HLS front."""
+
     listen: str
     key: str
     idle_s: PositiveFloat = 30.0
@@ -68,6 +74,8 @@
 
 
 class AcmeTable(Table):
+    """Table [acme]: certificates for the HLS front."""
+
     directory: str
     domains: tuple[str, ...]
     listen: str
@@ -78,6 +86,8 @@
 
 
 class DoorTable(Table):
+    """Table [door]: admission."""
+
     key: str = ""
     waiting: Annotated[int, Meta(ge=1, le=4096)] = 512
     promises: Annotated[int, Meta(ge=64, le=65536)] = 2048
@@ -85,12 +95,16 @@
 
 
 class ClientTable(Table):
+    """Table [clients.NAME]: one client of admission."""
+
     weight: Annotated[float, Meta(gt=0, le=1000)] = 1.0
     networks: tuple[str, ...] = ()
     key: str = ""
 
 
 class MembersTable(Table):
+    """Table [members]: membership among the routers."""
+
     listen: str
     key: str
     advertise: str = ""
@@ -104,6 +118,8 @@
 
 
 class CustodyTable(Table):
+    """Table [custody]: ownership of sessions and set-ups."""
+
     routers: Annotated[int, Meta(ge=1, le=128)]
     keepers: Annotated[int, Meta(ge=1, le=4)] = 2
     lease_ms: Annotated[float, Meta(ge=300, le=60_000)] = 1500.0
@@ -111,63 +127,73 @@
 
 
 class StoreTable(Table):
+    """Table [store]: storage that survives a restart."""
+
     folder: Annotated[str, Meta(min_length=1)]
 
 
 def read(path: Path) -> Site:
+    """Read and check a site's file; raises ConfigError."""
     try:
-        told = tomllib.loads(path.read_text(encoding="utf-8"))
+        document = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
         raise ConfigError(f"{path} can't be read: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path} is not TOML: {error}") from None
     try:
-        return parse(told)
+        return parse(document)
     except ValueError as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def parse(told: dict[str, Any]) -> Site:
-    unknown = sorted(told.keys() - set(TABLES))
+def parse(document: dict[str, Any]) -> Site:
+    """The settings in a parsed file; raises ValueError that names the key at fault."""
+    unknown = sorted(document.keys() - set(TABLES))
     if unknown:
         raise ValueError(f"nothing is called {unknown[0]}")
     admin = None
-    if "admin" in told:
-        admin = parse_host_port(convert_table(told["admin"], AdminTable, "admin").listen, "admin.listen")
+    if "admin" in document:
+        admin = parse_host_port(convert_table(document["admin"], AdminTable, "admin").listen, "admin.listen")
     if admin is not None and not admin[0].startswith("127."):
         raise ValueError("admin.listen has to be a loopback address")
-    hls = parse_hls(told["hls"]) if "hls" in told else None
-    if "acme" in told and hls is None:
+    hls = parse_hls(document["hls"]) if "hls" in document else None
+    if "acme" in document and hls is None:
         raise ValueError("acme: certificates are for the HLS front, which has no table here")
-    if "clients" in told and "door" not in told:
+    if "clients" in document and "door" not in document:
         raise ValueError("clients: clients queue at the door, which has no table here")
-    door = parse_admission(told["door"], told.get("clients", {})) if "door" in told else None
-    members = parse_members(told["members"]) if "members" in told else None
-    if "custody" in told and members is None:
+    door = parse_admission(document["door"], document.get("clients", {})) if "door" in document else None
+    members = parse_members(document["members"]) if "members" in document else None
+    if "custody" in document and members is None:
         raise ValueError("custody: work is kept by the members, which have no table here")
-    custody = parse_ownership(told["custody"]) if "custody" in told else None
-    if "store" in told and custody is None:
+    custody = parse_ownership(document["custody"]) if "custody" in document else None
+    if "store" in document and custody is None:
         raise ValueError("store: it keeps what custody keeps, which has no table here")
     store = (
-        StoreSettings(Path(convert_table(told["store"], StoreTable, "store").folder))
-        if "store" in told
+        StoreSettings(Path(convert_table(document["store"], StoreTable, "store").folder))
+        if "store" in document
         else None
     )
     return Site(
-        hls, parse_acme(told["acme"]) if "acme" in told else None, admin, door, members, custody, store
+        hls,
+        parse_acme(document["acme"]) if "acme" in document else None,
+        admin,
+        door,
+        members,
+        custody,
+        store,
     )
 
 
-def convert_table(told: Any, kind: type[TableType], path: str) -> TableType:
-    """A table by its schema; ValueError that names the key at fault by its full path."""
+def convert_table(content: Any, kind: type[TableType], path: str) -> TableType:
+    """Check a table against its schema; raises ValueError that names the key at fault by its full path."""
     try:
-        return msgspec.convert(told, kind)
+        return msgspec.convert(content, kind)
     except msgspec.ValidationError as error:
         raise ValueError(explain_error(str(error), path)) from None
 
 
 def explain_error(message: str, path: str) -> str:
-    """The library's message, with the key's path ahead of it."""
+    """Reword msgspec's error message so that it begins with the key's full path."""
     what, _, inside = message.partition(" - at `$")
     at = path + inside.removesuffix("`")
     if found := re.fullmatch(r"Object contains unknown field `(.*)`", what):
@@ -179,6 +205,7 @@
 
 
 def parse_host_port(text: str, path: str, lowest: int = 0) -> tuple[str, int]:
+    """A host and a port of `lowest` or more; raises ValueError that names the key."""
     try:
         return parse_address(text, lowest)
     except ValueError as error:
@@ -186,119 +213,131 @@
 
 
 def parse_key(text: str, path: str, min_length: int) -> bytes:
+    """The bytes of a signing key; raises ValueError where it is shorter than `min_length` characters."""
     if len(text) < min_length:
         raise ValueError(f"{path} has to hold {min_length} characters or more")
     return text.encode()
 
 
 def check_name(name: str, path: str, what: str) -> None:
+    """Raise ValueError where the name of a `what` has other characters than those of `NAME`."""
     if not NAME.fullmatch(name):
         raise ValueError(f"{path}: a {what} is made of letters, digits, '.', '_' and '-'")
 
 
-def parse_hls(told: Any) -> HlsSettings:
-    own = convert_table(told, HlsTable, "hls")
+def parse_hls(content: Any) -> HlsSettings:
+    """The HLS front's settings; raises ValueError."""
+    table = convert_table(content, HlsTable, "hls")
     titles = {}
-    for name, one in own.titles.items():
+    for name, title_content in table.titles.items():
         path = f"hls.titles.{name}"
         check_name(name, path, "title")
-        title = convert_table(one, TitleTable, path)
+        title = convert_table(title_content, TitleTable, path)
         titles[name] = Title(
             title.home, title.copies, title.top, title.length_s * 1000.0, frozenset(title.classes)
         )
     return HlsSettings(
-        listen=parse_host_port(own.listen, "hls.listen"),
-        url_key=parse_key(own.key, "hls.key", MIN_KEY_LENGTH),
-        idle_ms=own.idle_s * 1000.0,
-        max_manifest_bytes=int(own.manifest_kb * 1024),
-        server_port=own.box_port,
+        listen=parse_host_port(table.listen, "hls.listen"),
+        url_key=parse_key(table.key, "hls.key", MIN_KEY_LENGTH),
+        idle_ms=table.idle_s * 1000.0,
+        max_manifest_bytes=int(table.manifest_kb * 1024),
+        server_port=table.box_port,
         server_addresses={
-            name: parse_host_port(text, f"hls.boxes.{name}", 1) for name, text in own.boxes.items()
+            name: parse_host_port(text, f"hls.boxes.{name}", 1) for name, text in table.boxes.items()
         },
         titles=titles,
-        allow_origin=own.allow_origin,
+        allow_origin=table.allow_origin,
     )
 
 
-def parse_acme(told: Any) -> AcmeSettings:
-    own = convert_table(told, AcmeTable, "acme")
-    if not own.domains:
+def parse_acme(content: Any) -> AcmeSettings:
+    """The settings of certificates; raises ValueError."""
+    table = convert_table(content, AcmeTable, "acme")
+    if not table.domains:
         raise ValueError("acme.domains names no domain")
     return AcmeSettings(
-        directory=own.directory,
-        domains=own.domains,
-        contact=own.contact,
-        listen=parse_host_port(own.listen, "acme.listen"),
-        state=Path(own.state) if own.state else None,
-        ca_file=own.ca_file,
-        renew_before_s=own.renew_before_days * 86400.0,
+        directory=table.directory,
+        domains=table.domains,
+        contact=table.contact,
+        listen=parse_host_port(table.listen, "acme.listen"),
+        state=Path(table.state) if table.state else None,
+        ca_file=table.ca_file,
+        renew_before_s=table.renew_before_days * 86400.0,
     )
 
 
-def parse_admission(told: Any, clients: Any) -> AdmissionSettings:
-    own = convert_table(told, DoorTable, "door")
+def parse_admission(content: Any, clients: Any) -> AdmissionSettings:
+    """The settings of admission from the tables [door] and [clients]; raises ValueError."""
+    table = convert_table(content, DoorTable, "door")
     if not isinstance(clients, dict):
         raise ValueError("clients: expected a table of clients")
     if len(clients) > MAX_CLIENTS:
         raise ValueError(f"clients: {len(clients)} are named, {MAX_CLIENTS} at most")
-    parsed = {name: parse_client(name, one) for name, one in clients.items()}
-    seen: dict[Any, str] = {}
+    parsed = {name: parse_client(name, client_content) for name, client_content in clients.items()}
+    clients_by_network: dict[Any, str] = {}
     for client in parsed.values():
         for network in client.networks:
-            if network in seen:
-                raise ValueError(f"clients.{client.name}.networks: {network} is {seen[network]}'s already")
-            seen[network] = client.name
+            if network in clients_by_network:
+                raise ValueError(
+                    f"clients.{client.name}.networks: {network} is {clients_by_network[network]}'s already"
+                )
+            clients_by_network[network] = client.name
     others = parsed.pop(OTHER_CLIENTS, ClientSettings(OTHER_CLIENTS))
     if others.networks or others.key:
         raise ValueError(
             f"clients.{OTHER_CLIENTS} are those whom nobody vouches for: it takes a weight alone"
         )
     return AdmissionSettings(
-        parse_key(own.key, "door.key", MIN_KEY_LENGTH) if own.key else b"",
-        own.waiting,
-        own.promises,
-        own.quote_most_s * 1000.0,
+        parse_key(table.key, "door.key", MIN_KEY_LENGTH) if table.key else b"",
+        table.waiting,
+        table.promises,
+        table.quote_most_s * 1000.0,
         (*parsed.values(), others),
     )
 
 
-def parse_client(name: str, told: Any) -> ClientSettings:
+def parse_client(name: str, content: Any) -> ClientSettings:
+    """The settings of one client; raises ValueError."""
     path = f"clients.{name}"
     check_name(name, path, "client")
-    own = convert_table(told, ClientTable, path)
+    table = convert_table(content, ClientTable, path)
     networks = []
-    for text in own.networks:
+    for text in table.networks:
         try:
             networks.append(ip_network(text))
         except ValueError as error:
             raise ValueError(f"{path}.networks: {error}") from None
-    key = parse_key(own.key, f"{path}.key", MIN_CLIENT_KEY_LENGTH) if own.key else b""
-    return ClientSettings(name, own.weight, tuple(networks), key)
+    key = parse_key(table.key, f"{path}.key", MIN_CLIENT_KEY_LENGTH) if table.key else b""
+    return ClientSettings(name, table.weight, tuple(networks), key)
 
 
-def parse_members(told: Any) -> MembersSettings:
-    own = convert_table(told, MembersTable, "members")
-    check_name(own.site, "members.site", "site")
-    if len(own.join) > MAX_JOIN_ADDRESSES:
-        raise ValueError(f"members.join: {len(own.join)} addresses are named, {MAX_JOIN_ADDRESSES} at most")
-    if own.quiet_ms < 2.0 * own.probe_ms:
+def parse_members(content: Any) -> MembersSettings:
+    """The settings of membership; raises ValueError."""
+    table = convert_table(content, MembersTable, "members")
+    check_name(table.site, "members.site", "site")
+    if len(table.join) > MAX_JOIN_ADDRESSES:
+        raise ValueError(f"members.join: {len(table.join)} addresses are named, {MAX_JOIN_ADDRESSES} at most")
+    if table.quiet_ms < 2.0 * table.probe_ms:
         raise ValueError("members.quiet_ms has to be twice members.probe_ms or more: an answer may be lost")
-    keys = [parse_key(own.key, "members.key", MIN_KEY_LENGTH)]
-    if own.old_key:
-        keys.append(parse_key(own.old_key, "members.old_key", MIN_KEY_LENGTH))
+    keys = [parse_key(table.key, "members.key", MIN_KEY_LENGTH)]
+    if table.old_key:
+        keys.append(parse_key(table.old_key, "members.old_key", MIN_KEY_LENGTH))
     return MembersSettings(
-        listen=parse_host_port(own.listen, "members.listen"),
-        advertise=parse_host_port(own.advertise, "members.advertise") if own.advertise else None,
-        join=tuple(parse_host_port(text, f"members.join[{at}]", 1) for at, text in enumerate(own.join)),
-        site=own.site,
+        listen=parse_host_port(table.listen, "members.listen"),
+        advertise=parse_host_port(table.advertise, "members.advertise") if table.advertise else None,
+        join=tuple(
+            parse_host_port(text, f"members.join[{index}]", 1) for index, text in enumerate(table.join)
+        ),
+        site=table.site,
         keys=tuple(keys),
-        probe_ms=own.probe_ms,
-        quiet_ms=own.quiet_ms,
-        out_ms=own.out_ms,
-        watch=own.watch,
+        probe_ms=table.probe_ms,
+        quiet_ms=table.quiet_ms,
+        out_ms=table.out_ms,
+        watch=table.watch,
     )
 
 
-def parse_ownership(told: Any) -> OwnershipSettings:
-    own = convert_table(told, CustodyTable, "custody")
-    return OwnershipSettings(own.routers, own.keepers, own.lease_ms, own.when_unkept == "serve")
+def parse_ownership(content: Any) -> OwnershipSettings:
+    """The settings of ownership; raises ValueError."""
+    table = convert_table(content, CustodyTable, "custody")
+    return OwnershipSettings(table.routers, table.keepers, table.lease_ms, table.when_unkept == "serve")
--- a/tests/authority.py
+++ b/tests/authority.py
@@ -1,4 +1,4 @@
-"""A stand-in certificate authority, from RFC 8555: it checks nonces, signatures and http-01 for real."""
+"""A stand-in certificate authority after RFC 8555 that checks nonces, signatures and http-01 challenges."""
 
 from __future__ import annotations
 
@@ -24,10 +24,13 @@
 
 
 class Authority:
-    """Validates at `front_port` of the loopback, whatever the domain."""
+    """An authority on the loopback; it validates every domain at the port that `front` resolves to.
+
+    While `refusing` is set, each order is refused with rateLimited.
+    """
 
     def __init__(self, life: datetime.timedelta = 90 * DAY) -> None:
-        self.front: Future[int] = Future()  # the port is known once the front listens
+        self.front: Future[int] = Future()  # the port of the HLS front, set once it listens
         self.life, self.refusing, self.issued = life, False, 0
         self.order_seen = threading.Semaphore(0)
         self.nonces: set[str] = set()
@@ -40,10 +43,10 @@
         class Handler(BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
 
-            def reply(self, status: int, told: Any, **fields: str) -> None:
+            def reply(self, status: int, content: Any, **fields: str) -> None:
                 nonce = secrets.token_hex(8)
                 authority.nonces.add(nonce)
-                data = told if isinstance(told, bytes) else json.dumps(told).encode()
+                data = content if isinstance(content, bytes) else json.dumps(content).encode()
                 self.send_response(status)
                 for name, value in {
                     "Replay-Nonce": nonce,
@@ -69,8 +72,8 @@
             def do_POST(self) -> None:
                 data = self.rfile.read(int(self.headers["Content-Length"]))
                 try:
-                    status, told, fields = authority.post(self.path, data)
-                    self.reply(status, told, **fields)
+                    status, content, fields = authority.post(self.path, data)
+                    self.reply(status, content, **fields)
                 except Refused as error:
                     self.reply(
                         403,
@@ -91,9 +94,9 @@
         self.web.server_close()
 
     def verified(self, path: str, data: bytes) -> tuple[str, Any, Any]:
-        """The account, its key and the payload of a signed request."""
-        told = json.loads(data)
-        protected = json.loads(b64decode(told["protected"]))
+        """The account, its key and the payload of a signed request; raises `Refused`."""
+        signed = json.loads(data)
+        protected = json.loads(b64decode(signed["protected"]))
         if protected["nonce"] not in self.nonces or protected["url"] != self.url + path:
             raise Refused("badNonce")
         self.nonces.discard(protected["nonce"])
@@ -101,52 +104,52 @@
         key = JWK.from_json(protected["jwk"]) if "jwk" in protected else self.accounts[kid]
         if not JWS.from_json(
             {
-                "payload": told["payload"],
+                "payload": signed["payload"],
                 "signatures": [
-                    {"protected": told["protected"], "signature": told["signature"], "header": {}}
+                    {"protected": signed["protected"], "signature": signed["signature"], "header": {}}
                 ],
             }
         ).verify(key):
             raise Refused("unauthorized")
-        payload = b64decode(told["payload"])
+        payload = b64decode(signed["payload"])
         return kid, key, json.loads(payload) if payload else None
 
     def post(self, path: str, data: bytes) -> tuple[int, Any, dict[str, str]]:
-        kid, key, told = self.verified(path, data)
-        word, _, name = path[1:].partition("/")
-        if word == "account":
-            kid = next((k for k, held in self.accounts.items() if held == key), "")
+        kid, key, payload = self.verified(path, data)
+        resource, _, name = path[1:].partition("/")
+        if resource == "account":
+            kid = next((k for k, known_key in self.accounts.items() if known_key == key), "")
             known, kid = bool(kid), kid or f"{self.url}/account/{secrets.token_hex(4)}"
             self.accounts[kid] = key
             return 200 if known else 201, {"status": "valid"}, {"Location": kid}
-        if word == "order" and not name:
+        if resource == "order" and not name:
             self.order_seen.release()
             if self.refusing:
                 raise Refused("rateLimited")
             name = secrets.token_hex(4)
             self.orders[name] = {
-                "names": [x["value"] for x in told["identifiers"]],
+                "names": [x["value"] for x in payload["identifiers"]],
                 "valid": False,
                 "token": b64encode(secrets.token_bytes(32)).decode(),
             }
             return 201, self.order(name), {"Location": f"{self.url}/order/{name}"}
         order = self.orders[name]
-        if word == "order":
+        if resource == "order":
             return 200, self.order(name), {"Location": f"{self.url}/order/{name}"}
-        if word == "authz":
+        if resource == "authz":
             return 200, self.authorization(name), {}
-        if word == "challenge":
-            link = http.client.HTTPConnection("127.0.0.1", self.front.result(5), timeout=5)
-            link.request("GET", f"/.well-known/acme-challenge/{order['token']}")
-            thumb = b64encode(key.thumbprint()).decode()
-            order["valid"] = link.getresponse().read().decode() == f"{order['token']}.{thumb}"
-            link.close()
+        if resource == "challenge":
+            connection = http.client.HTTPConnection("127.0.0.1", self.front.result(5), timeout=5)
+            connection.request("GET", f"/.well-known/acme-challenge/{order['token']}")
+            thumbprint = b64encode(key.thumbprint()).decode()
+            order["valid"] = connection.getresponse().read().decode() == f"{order['token']}.{thumbprint}"
+            connection.close()
             up = f'<{self.url}/authz/{name}>;rel="up"'
             return 200, self.authorization(name)["challenges"][0], {"Link": up}
-        if word == "finalize":
+        if resource == "finalize":
             if not order["valid"]:
                 raise Refused("orderNotReady")
-            order["chain"] = self.sign(x509.load_der_x509_csr(b64decode(told["csr"])))
+            order["chain"] = self.sign(x509.load_der_x509_csr(b64decode(payload["csr"])))
             return 200, self.order(name), {}
         return 200, order["chain"], {"Content_Type": "application/pem-certificate-chain"}
 
@@ -181,7 +184,7 @@
         now = datetime.datetime.now(datetime.UTC)
         names = csr.extensions.get_extension_for_class(x509.SubjectAlternativeName)
         self.issued += 1
-        made = (
+        certificate = (
             x509.CertificateBuilder()
             .subject_name(x509.Name([]))
             .issuer_name(self.name)
@@ -192,8 +195,8 @@
             .add_extension(names.value, critical=True)
             .sign(self.key, hashes.SHA256())
         )
-        return made.public_bytes(Encoding.PEM)
+        return certificate.public_bytes(Encoding.PEM)
 
 
 class Refused(Exception):
-    """Its text is the type of the problem."""
+    """A request is refused; the text is the ACME error type."""
--- a/tests/test_acme.py
+++ b/tests/test_acme.py
@@ -1,4 +1,4 @@
-"""Certificates from a stand-in authority, and the console's view of them."""
+"""Certificates from a stand-in authority, and how the console shows them."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 @pytest.fixture
 def authority() -> Iterator[Authority]:
-    one = Authority()
-    yield one
-    one.stop()
+    stand_in = Authority()
+    yield stand_in
+    stand_in.stop()
 
 
 def certificate(port: int) -> int:
-    """The serial number of what is served."""
+    """The serial number of the certificate that is served."""
     context = ssl.create_default_context()
     context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
     with (
-        socket.create_connection(("127.0.0.1", port), WAIT_S) as link,
-        context.wrap_socket(link, server_hostname=DOMAIN) as tls,
+        socket.create_connection(("127.0.0.1", port), WAIT_S) as connection,
+        context.wrap_socket(connection, server_hostname=DOMAIN) as tls,
     ):
         tls.sendall(b"GET /play/none/none HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         assert tls.recv(12) == b"HTTP/1.1 404"
@@ -50,7 +50,7 @@
         return x509.load_der_x509_certificate(tls.getpeercert(True) or b"").serial_number
 
 
-def test_the_front_serves_with_a_certificate_that_it_got_itself(tmp_path: Path, authority: Authority) -> None:
+def test_the_front_serves_with_a_certificate_that_it_ordered(tmp_path: Path, authority: Authority) -> None:
     (tmp_path / "site.toml").write_text(
         f'[hls]\nlisten = "127.0.0.1:0"\nkey = "{"k" * 32}"\n[admin]\nlisten = "127.0.0.1:0"\n'
         f'[acme]\ndirectory = "{authority.url}"\ndomains = ["{DOMAIN}"]\nlisten = "127.0.0.1:0"\n'
@@ -67,19 +67,19 @@
             serials.append(certificate(tls))
             view = "\n".join(console.render_status(console.fetch_status(("127.0.0.1", admin))))
             assert f"certificate for {DOMAIN}: good until" in view and "s-00000000" in view
-    assert serials[0] == serials[1] == 1001 and authority.issued == 1  # the second start found it kept
+    assert serials[0] == serials[1] == 1001 and authority.issued == 1  # the second start loads the stored one
     assert (tmp_path / "state" / "key.pem").stat().st_mode & 0o77 == 0
 
 
-class Kept:
-    """A keeper on a clock that stands still; its orders run in their threads, what they bring in `turn`."""
+class RenewalHarness:
+    """A `CertificateRenewal` on a manual clock; orders run in threads, `turn` handles their results."""
 
     def __init__(self, authority: Authority, folder: Path, **changes: Any) -> None:
         self.clock = ManualClock(datetime.datetime.now().timestamp() * 1000.0)
         self.deadlines = Deadlines(self.clock)
         self.calls: list[tuple[Any, ...]] = []
         self.called = threading.Semaphore(0)
-        told: dict[str, Any] = {
+        settings: dict[str, Any] = {
             "directory": authority.url,
             "domains": (DOMAIN,),
             "contact": "",
@@ -89,13 +89,13 @@
             "renew_before_s": 30 * 86400.0,
             **changes,
         }
-        self.ready = 0
-        self.keeper = CertificateRenewal(
-            AcmeSettings(**told), self.deadlines, self._call, self._ready, random.Random(1)
+        self.first_certificates = 0
+        self.renewal = CertificateRenewal(
+            AcmeSettings(**settings), self.deadlines, self._call, self._first_certificate, random.Random(1)
         )
 
-    def _ready(self) -> None:
-        self.ready += 1
+    def _first_certificate(self) -> None:
+        self.first_certificates += 1
 
     def _call(self, *call: Any) -> None:
         self.calls.append(call)
@@ -113,7 +113,7 @@
 
 @pytest.fixture
 def answering(authority: Authority) -> Iterator[dict[str, str]]:
-    """The challenges' front, in place of the program's."""
+    """A server that answers the challenges, in place of the program's HLS front."""
     from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
     proofs: dict[str, str] = {}
@@ -135,53 +135,53 @@
     web.server_close()
 
 
-def test_renewal_comes_before_the_end_and_a_failure_keeps_the_old_one(
+def test_a_certificate_is_renewed_before_its_end_and_stays_in_use_after_a_failure(
     tmp_path: Path, authority: Authority, answering: dict[str, str]
 ) -> None:
-    kept = Kept(authority, tmp_path)
-    kept.keeper.proofs = answering
-    kept.keeper.start()
-    kept.turn()
-    first = kept.keeper.live.context
-    assert first is not None and kept.ready == 1 and not answering, "proofs are taken away again"
-    kept.pass_days(59)
+    harness = RenewalHarness(authority, tmp_path)
+    harness.renewal.proofs = answering
+    harness.renewal.start()
+    harness.turn()
+    first = harness.renewal.live.context
+    assert (
+        first is not None and harness.first_certificates == 1 and not answering
+    ), "proofs are removed after the order"
+    harness.pass_days(59)
     assert authority.issued == 1
     authority.refusing = True
-    kept.pass_days(2)
-    kept.turn()
-    assert kept.keeper.live.context is first and "rateLimited" in kept.keeper.error
-    kept.pass_days(0.01)  # the first pause is about a minute
-    kept.turn()
-    assert kept.keeper.failures == 2 and len(kept.deadlines) == 1
+    harness.pass_days(2)
+    harness.turn()
+    assert harness.renewal.live.context is first and "rateLimited" in harness.renewal.error
+    harness.pass_days(0.01)  # the first delay is about a minute
+    harness.turn()
+    assert harness.renewal.failures == 2 and len(harness.deadlines) == 1
     authority.refusing = False
-    kept.pass_days(0.01)
-    kept.turn()
-    assert kept.keeper.live.context not in (None, first) and kept.ready == 1
-    assert (kept.keeper.error, kept.keeper.failures, authority.issued) == ("", 0, 2)
+    harness.pass_days(0.01)
+    harness.turn()
+    assert harness.renewal.live.context not in (None, first) and harness.first_certificates == 1
+    assert (harness.renewal.error, harness.renewal.failures, authority.issued) == ("", 0, 2)
 
 
-def test_a_damaged_state_is_passed_over(
+def test_a_damaged_stored_certificate_is_replaced(
     tmp_path: Path, authority: Authority, answering: dict[str, str]
 ) -> None:
     for name in ("key.pem", "chain.pem"):
         (tmp_path / name).write_text("not a key")
-    kept = Kept(authority, tmp_path)
-    kept.keeper.proofs = answering
-    kept.keeper.start()
-    kept.turn()
-    assert kept.ready == 1 and authority.issued == 1
+    harness = RenewalHarness(authority, tmp_path)
+    harness.renewal.proofs = answering
+    harness.renewal.start()
+    harness.turn()
+    assert harness.first_certificates == 1 and authority.issued == 1
 
 
-def test_the_account_of_an_earlier_start_is_used_again(
-    authority: Authority, answering: dict[str, str]
-) -> None:
+def test_the_account_of_an_earlier_start_is_reused(authority: Authority, answering: dict[str, str]) -> None:
     account = new_account_key()
     for _ in range(2):
         assert b"BEGIN CERTIFICATE" in issue(authority.url, (DOMAIN,), "", "", account, answering).chain_pem
     assert len(authority.accounts) == 1
 
 
-def test_the_console_prints_one_view_or_says_why_not(tmp_path: Path) -> None:
+def test_the_console_prints_the_status_once_or_one_line_of_error(tmp_path: Path) -> None:
     (tmp_path / "site.toml").write_text('[admin]\nlisten = "127.0.0.1:0"\n')
     with site(tmp_path, 1, deploy=tmp_path / "site.toml") as (program, _, _log):
         port = program.wait_for(r"admin on 127\.0\.0\.1:(\d+)")[1]
@@ -201,5 +201,5 @@
     assert done.returncode == 2 and "no router answers" in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_what_comes_from_outside_can_t_steer_the_terminal() -> None:
+def test_control_characters_do_not_reach_the_terminal() -> None:
     assert console.column(json.loads('"\\u001b[2Jx"'), 6) == "?[2Jx "
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -1,4 +1,4 @@
-"""The site's file: what is wrong is said in one sentence that names the key by its full path."""
+"""The site's file: each error is reported in one sentence that names the key by its full path."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "text,says",
+    "text,message",
     [
         ("[hsl]\n", "nothing is called hsl"),
         (MEMBERS + "join = ['nowhere']\n", "members.join[0]: 'nowhere' is no host:port"),
@@ -61,33 +61,33 @@
         ("[hls\n", "is not TOML"),
     ],
 )
-def test_what_is_wrong_is_named_by_its_full_path(text: str, says: str, tmp_path: Path) -> None:
+def test_an_error_names_the_key_by_its_full_path(text: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text(text)
-    with pytest.raises(ConfigError, match=re.escape(says)) as raised:
+    with pytest.raises(ConfigError, match=re.escape(message)) as raised:
         site.read(path)
     assert "\n" not in str(raised.value) and "$" not in str(raised.value)
 
 
-def test_a_door_with_clients_is_read(tmp_path: Path) -> None:
+def test_the_settings_of_admission_with_clients(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text(
         DOOR + "waiting = 9\n[clients.maple]\nweight = 2\nnetworks = ['10.1.0.0/16', 'fd00::/8']"
         "\n[clients.others]\nweight = 0.5\n"
     )
-    door = site.read(path).admission
-    assert door is not None and door.max_waiting == 9
-    assert [(one.name, one.weight, len(one.networks)) for one in door.clients] == [
+    admission = site.read(path).admission
+    assert admission is not None and admission.max_waiting == 9
+    assert [(x.name, x.weight, len(x.networks)) for x in admission.clients] == [
         ("maple", 2.0, 2),
         ("others", 0.5, 0),
     ]
 
 
-def test_a_door_needs_nothing_but_its_table(tmp_path: Path) -> None:
+def test_admission_needs_only_an_empty_table(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text("[door]\n")
-    door = site.read(path).admission
-    assert door is not None and door.signing_key == b"" and door.max_waiting == 512
+    admission = site.read(path).admission
+    assert admission is not None and admission.signing_key == b"" and admission.max_waiting == 512
 
 
 def test_members_need_an_address_and_a_key(tmp_path: Path) -> None:
@@ -97,8 +97,8 @@
     assert members is not None and (members.site, members.advertise, members.watch) == ("main", None, 6)
 
 
-def test_the_platform_s_run_loads_none_of_it() -> None:
-    """Guards the platform's memory: what is switched off there is not imported."""
+def test_components_that_are_off_are_not_imported() -> None:
+    """The platform's memory is limited, so modules of components that are off must not be loaded there."""
     code = (
         "import sys; import cloverhinge.cli, cloverhinge.node\n"
         "print([x for x in sys.modules if x.split('.')[0] in ('msgspec', 'm3u8', 'acme', 'josepy',"
@@ -106,16 +106,16 @@
         " 'cloverhinge.members', 'cloverhinge.ownership', 'cloverhinge.store', 'cloverhinge.lab',"
         " 'cloverhinge.emulator'))])"
     )
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=WAIT_S
     )
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    assert result.stdout.strip() == "[]", result.stdout + result.stderr
 
 
-def test_the_door_of_the_example_is_right_once_it_is_uncommented(tmp_path: Path) -> None:
+def test_the_example_s_admission_tables_are_valid_once_uncommented(tmp_path: Path) -> None:
     text = (ROOT / "example/site.toml").read_text()
     at = text.index("# [door]")
     path = tmp_path / "site.toml"
     path.write_text(text[:at] + re.sub(r"^# ?", "", text[at:], flags=re.M))
-    door = site.read(path).admission
-    assert door is not None and [one.name for one in door.clients] == ["maple", "others"]
+    admission = site.read(path).admission
+    assert admission is not None and [x.name for x in admission.clients] == ["maple", "others"]
