--- a/cloverhinge/operations/admin.py
+++ b/cloverhinge/operations/admin.py
@@ -1,6 +1,6 @@
-"""The admin socket: whoever writes the line `status` gets the router's state as one line of JSON.
+"""The admin socket: answers the line `status` with the router's state as one line of JSON.
 
-Parts that the site file turns on may add commands of one word and what it is about, as `custody PLAY`.
+Components that the site file turns on may add commands of one word and an argument, such as `custody PLAY`.
 """
 
 from __future__ import annotations
@@ -18,33 +18,38 @@
 from cloverhinge.net.buffered import BufferedReceiver
 from cloverhinge.rtsp.media_servers import MediaServers
 
-MAX_SESSIONS_SHOWN = 100  # shown; the count is told in full
-MAX_CONNECTIONS = 16  # connections at a time
+MAX_SESSIONS_SHOWN = 100  # sessions listed; their number is always exact
+MAX_CONNECTIONS = 16  # at a time
 
 
 def snapshot(
     name: str,
     router: Router,
     media_servers: MediaServers,
-    boxes: dict[int, ServerAddress],
+    addresses: dict[int, ServerAddress],
     started_ms: float,
     certificate: dict[str, Any] | None,
     plays: int,
     clients: list[dict[str, Any]],
 ) -> dict[str, Any]:
+    """The status of a router, ready for JSON.
+
+    It lists all media servers in `addresses` and the `MAX_SESSIONS_SHOWN` oldest sessions.  `certificate` and
+    `clients` are taken as they are.
+    """
     now = router.clock.now()
     servers = router.controller.fleet.servers
 
-    def load(limit: Any) -> float | None:
+    def rounded_load(limit: Any) -> float | None:
         return None if limit.load is None else round(limit.load, 3)
 
-    standing = [request for request in router.requests if request.state is State.ESTABLISHED]
-    shown = sorted(standing, key=lambda x: x.received_ms)[:MAX_SESSIONS_SHOWN]
+    established = [request for request in router.requests if request.state is State.ESTABLISHED]
+    shown = sorted(established, key=lambda x: x.received_ms)[:MAX_SESSIONS_SHOWN]
     return {
         "name": name,
         "up_s": round((now - started_ms) / 1000.0, 1),
         "open": router.open_requests,
-        "standing": len(standing),
+        "standing": len(established),
         "plays": plays,
         "counters": router.counters.as_status(),
         "broken": dict(invariants.violations),
@@ -52,22 +57,22 @@
         "clients": clients,
         "boxes": [
             {
-                "name": box.name,
-                "address": f"{box.host}:{box.port}",
+                "name": address.name,
+                "address": f"{address.host}:{address.port}",
                 "health": router.listings[number].health.value if number in router.listings else "gone",
                 "sessions": len(router.established.get(number, {})),
-                "link": load(servers[number].link) if number in servers else None,
-                "uplink": load(servers[number].uplink) if number in servers else None,
+                "link": rounded_load(servers[number].link) if number in servers else None,
+                "uplink": rounded_load(servers[number].uplink) if number in servers else None,
                 "connected": number in media_servers.pools and bool(media_servers.pools[number].connections),
             }
-            for number, box in sorted(boxes.items(), key=lambda x: x[1].name)
+            for number, address in sorted(addresses.items(), key=lambda x: x[1].name)
         ],
         "sessions": [
             {
                 "id": request.set_up.session_id,
                 "class": request.set_up.class_name,
                 "title": request.set_up.title,
-                "box": boxes[request.server].name if request.server in boxes else "?",
+                "box": addresses[request.server].name if request.server in addresses else "?",
                 "rung": request.rung,
                 "age_s": round((now - request.received_ms) / 1000.0, 1),
             }
@@ -77,6 +82,8 @@
 
 
 class AdminConnection(BufferedReceiver):
+    """A connection to the admin socket: each line is a command, answered by one line of JSON."""
+
     MAX_LENGTH = 256
     delimiter = b"\n"
 
@@ -93,20 +100,22 @@
         self.admin.connections -= 1
 
     def pauseProducing(self) -> None:
-        pass  # one answer may fill the transport's buffer; it is bounded by what it shows
+        pass  # an answer may exceed the transport's buffer, but its length is bounded
 
     def lineReceived(self, line: bytes) -> None:
-        word, _, about = line.decode("utf-8", "replace").strip().partition(" ")
-        if word == "status" and not about:
-            told = self.admin.status()
-        elif word in self.admin.commands:
-            told = self.admin.commands[word](about.strip())
+        command, _, argument = line.decode("utf-8", "replace").strip().partition(" ")
+        if command == "status" and not argument:
+            answer = self.admin.status()
+        elif command in self.admin.commands:
+            answer = self.admin.commands[command](argument.strip())
         else:
-            told = {"error": f"only {', '.join(['status', *self.admin.commands])} is known here"}
-        self.send(json.dumps(told).encode() + b"\n")
+            answer = {"error": f"only {', '.join(['status', *self.admin.commands])} is known here"}
+        self.send(json.dumps(answer).encode() + b"\n")
 
 
 class AdminFactory(ServerFactory):
+    """Serves the admin socket; over `MAX_CONNECTIONS`, a new connection is closed at once."""
+
     noisy = False
 
     def __init__(
--- a/tests/test_manifests.py
+++ b/tests/test_manifests.py
@@ -1,4 +1,4 @@
-"""Reading and rewriting manifests."""
+"""Parsing and rewriting of manifests."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
     ]
 
 
-def test_every_uri_of_a_media_playlist_leads_to_its_box() -> None:
+def test_every_uri_of_a_media_playlist_leads_to_its_media_server() -> None:
     manifest = parse(MEDIA)
     text = rewrite(manifest, BASE + "/low/index.m3u8", lambda n: "never", 0)
-    home = "http://10.0.0.9:8080"
+    origin = "http://10.0.0.9:8080"
     assert urls(text) == [
-        f"{home}/sessions/00ff/key1",
+        f"{origin}/sessions/00ff/key1",
         "skd://key",
-        f"{home}/sessions/00ff/low/init.mp4",
-        f"{home}/abs/seg7.m4s",
-        f"{home}/sessions/00ff/low/seg8.m4s?x=1",
+        f"{origin}/sessions/00ff/low/init.mp4",
+        f"{origin}/abs/seg7.m4s",
+        f"{origin}/sessions/00ff/low/seg8.m4s?x=1",
     ]
     assert "#EXT-X-CUSTOM:kept" in text and manifest.complete
     assert (manifest.duration_ms, manifest.target_s, manifest.next_sequence) == (7500.0, 4, 9)
@@ -63,17 +63,20 @@
 
 
 @pytest.mark.parametrize(
-    "cap,named", [(1600000.0, ["p0", "p3", "p1", "p2"]), (900000.0, ["p0", "p1"]), (1.0, ["p0", "p1"])]
+    "max_bandwidth,named",
+    [(1600000.0, ["p0", "p3", "p1", "p2"]), (900000.0, ["p0", "p1"]), (1.0, ["p0", "p1"])],
 )
-def test_a_multivariant_playlist_is_capped_and_leads_through_the_router(cap: float, named: list[str]) -> None:
-    text = rewrite(parse(MASTER), BASE, lambda n: f"p{n}", cap)
+def test_a_multivariant_playlist_is_capped_and_leads_through_the_router(
+    max_bandwidth: float, named: list[str]
+) -> None:
+    text = rewrite(parse(MASTER), BASE, lambda n: f"p{n}", max_bandwidth)
     assert [url for url in urls(text) if "key0" not in url] == named
     assert "http://10.0.0.9:8080/sessions/key0" in text and "STEERING" not in text
     assert text.count("#EXT-X-STREAM-INF") == len([x for x in named if x in ("p1", "p2")])
 
 
 @pytest.mark.parametrize(
-    "data,words",
+    "data,message",
     [
         (b"", "no #EXTM3U"),
         (b"<html>", "no #EXTM3U"),
@@ -85,8 +88,8 @@
         (b"#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXTINF:4,\ns\x00.ts\n", "control"),
     ],
 )
-def test_what_is_no_manifest_is_refused(data: bytes, words: str) -> None:
-    with pytest.raises(BadManifest, match=words):
+def test_an_invalid_manifest_is_refused(data: bytes, message: str) -> None:
+    with pytest.raises(BadManifest, match=message):
         parse(data)
 
 
@@ -101,7 +104,7 @@
         "a b.ts",
     ],
 )
-def test_a_uri_that_leads_away_from_its_box_is_refused(uri: str) -> None:
+def test_a_uri_that_leads_to_another_server_is_refused(uri: str) -> None:
     manifest = parse(f"#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXTINF:4,\n{uri}\n".encode())
     with pytest.raises(BadManifest):
         rewrite(manifest, BASE, lambda n: "", 0)
--- a/tests/test_plays.py
+++ b/tests/test_plays.py
@@ -1,4 +1,4 @@
-"""Plays without a wire: what a fetch may set up, join or find ended."""
+"""Plays on a stand-in core, without HTTP: when a fetch sets up, joins, or finds its play ended."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class Fetches:
-    """Plays over a stand-in core, and what each fetch came to."""
+    """Plays on a stand-in core, and the result of each fetch."""
 
     def __init__(self) -> None:
         self.stand = Stand()
         self.plays = Plays(self.stand.router, self.stand, self.stand.deadlines, 30_000.0)
 
     def fetch(self, class_name: str = "paid", key: str = "attempt-1", title: str = "t") -> list[Any]:
-        """Empty while it waits, then what it came to."""
-        play, came = self.plays.find_or_add(key, class_name, title, TITLE), list[Any]()
+        """A list that holds the fetch's result, a request or an exception, once it has one."""
+        play, results = self.plays.find_or_add(key, class_name, title, TITLE), list[Any]()
         work: Deferred[Request] = ensureDeferred(self.plays.established_session(play))
-        work.addCallbacks(came.append, lambda failure: came.append(failure.value))
-        return came
+        work.addCallbacks(results.append, lambda failure: results.append(failure.value))
+        return results
 
     def play(self, key: str = "attempt-1") -> Play:
         return self.plays.by_id[key]
@@ -41,15 +41,17 @@
 
 def test_fetches_join_one_set_up() -> None:
     fetches = Fetches()
-    came = [fetches.fetch() for _ in range(20)]
-    assert came == [[]] * 20 and len(fetches.stand.sent) == 1
+    results = [fetches.fetch() for _ in range(20)]
+    assert results == [[]] * 20 and len(fetches.stand.sent) == 1
     fetches.answer()
-    assert {one[0] for one in came} == {fetches.play().request}
+    assert {result[0] for result in results} == {fetches.play().request}
     assert fetches.fetch() == [fetches.play().request] and len(fetches.stand.sent) == 1
 
 
 @pytest.mark.parametrize("class_name,again", [("paid", False), ("film", True)])
-@pytest.mark.parametrize("how", ["ended by its box", "cut", "cancelled by its box", "drained", "moved"])
+@pytest.mark.parametrize(
+    "how", ["ended by its media server", "cut", "cancelled by its media server", "drained", "moved"]
+)
 def test_only_a_repeatable_session_is_set_up_again(class_name: str, again: bool, how: str) -> None:
     fetches = Fetches()
     fetches.fetch(class_name)
@@ -57,42 +59,42 @@
     request, router = fetches.play().request, fetches.stand.router
     assert request is not None and request.server is not None
     match how:
-        case "ended by its box":
+        case "ended by its media server":
             router.session_ended(request, Outcome.SERVED)
-            again = False  # it was watched to its end
+            again = False  # it was played to its end
         case "cut":
             router.cut(request)
-        case "cancelled by its box":
+        case "cancelled by its media server":
             router.session_ended(request, Outcome.CANCELLED)
         case "drained":
             fetches.stand.told_of(request.server, api.Health.DRAINING)
         case "moved":
             router._move(request.handle)
-    came = fetches.fetch(class_name)
+    results = fetches.fetch(class_name)
     assert len(fetches.stand.sent) == (2 if again else 1)
     if again:
         fetches.answer()
-        assert came == [fetches.play().request] and fetches.play().request is not request
+        assert results == [fetches.play().request] and fetches.play().request is not request
     else:
-        assert isinstance(came[0], PlayEnded) and isinstance(fetches.fetch(class_name)[0], PlayEnded)
+        assert isinstance(results[0], PlayEnded) and isinstance(fetches.fetch(class_name)[0], PlayEnded)
 
 
 def test_a_failed_paid_play_stays_failed_and_a_refused_one_may_try_again() -> None:
     fetches = Fetches()
-    came = fetches.fetch()
+    results = fetches.fetch()
     fetches.stand.router.may_write(fetches.stand.sent[0])
     fetches.stand.router.attempt_ended(fetches.stand.sent[0], Outcome.ERROR)
-    assert [came[0].status, fetches.fetch()[0].status, len(fetches.stand.sent)] == [502, 502, 1]
-    came = fetches.fetch(key="attempt-2")
-    while not came:
+    assert [results[0].status, fetches.fetch()[0].status, len(fetches.stand.sent)] == [502, 502, 1]
+    results = fetches.fetch(key="attempt-2")
+    while not results:
         fetches.stand.router.attempt_ended(fetches.stand.sent[-1], Outcome.FULL)
-    tried = len(fetches.stand.sent)
-    fetches.stand.pass_ms(5000.0)  # the boxes that were full are trusted again
-    assert came[0].status == 503 and fetches.fetch(key="attempt-2") == []
-    assert len(fetches.stand.sent) == tried + 1
+    attempts = len(fetches.stand.sent)
+    fetches.stand.pass_ms(5000.0)  # the media servers that were full are tried again
+    assert results[0].status == 503 and fetches.fetch(key="attempt-2") == []
+    assert len(fetches.stand.sent) == attempts + 1
 
 
-def test_state_goes_with_the_idle_session() -> None:
+def test_an_idle_play_is_dropped_and_its_session_released() -> None:
     fetches = Fetches()
     fetches.fetch()
     fetches.answer()
@@ -100,13 +102,13 @@
     assert fetches.play().request is not None
     fetches.stand.pass_ms(2_000.0)
     assert not fetches.plays.by_id and not fetches.plays.by_token and len(fetches.plays.table) == 0
-    assert any(one[0] == "release" for one in fetches.stand.told)
+    assert any(call[0] == "release" for call in fetches.stand.told)
 
 
 def test_another_title_under_the_same_id_is_a_conflict_and_waiters_are_bounded() -> None:
     fetches = Fetches()
-    came = [fetches.fetch() for _ in range(70)]
-    assert [one[0].status for one in came if one] == [503] * 6
+    results = [fetches.fetch() for _ in range(70)]
+    assert [result[0].status for result in results if result] == [503] * 6
     with pytest.raises(FetchFailed) as raised:
         fetches.fetch(title="u")
     assert raised.value.status == 409
