--- a/cloverhinge/cli.py
+++ b/cloverhinge/cli.py
@@ -94,7 +94,8 @@
         print(
             "door: off"
             if node_site.admission is None
-            else f"door: {len(node_site.admission.clients) - 1} clients named, {node_site.admission.max_waiting} may wait"
+            else f"door: {len(node_site.admission.clients) - 1} clients named, "
+            f"{node_site.admission.max_waiting} may wait"
         )
         return 0
     if node_site.members is not None and not node_config.name:
