--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -9,52 +9,63 @@
 from pathlib import Path
 from typing import Any
 
-from cloverhinge.lab.harness import WAIT_S, ChangeLog, Pump, Wire, answer, ask, site
+from cloverhinge.lab.harness import (
+    TIMEOUT_S,
+    FakeChangeLog,
+    FakeMediaServer,
+    RtspConnection,
+    read_answer,
+    running_program,
+    send_set_up,
+)
 
 LIMIT_S = 4.0  # events that a silent log withholds count as received this long after its silence began
 DRAIN_GRACE_S = 0.25
 
 
-class Scripted(ChangeLog):
+class Scripted(FakeChangeLog):
     """Sends nothing on a connection except what the test writes."""
 
-    def serve(self, wire: Wire) -> None:
-        words = wire.file.readline().split()
+    def serve(self, wire: RtspConnection) -> None:
+        words = wire.reader.readline().split()
         if words:
-            self.followers.put((int(words[1]), wire))
+            self.subscriptions.put((int(words[1]), wire))
 
 
 def line(value: Any) -> bytes:
     return json.dumps(value).encode() + b"\n"
 
 
-def follower(log: ChangeLog) -> tuple[int, Wire]:
-    return log.followers.get(timeout=WAIT_S)
+def follower(log: FakeChangeLog) -> tuple[int, RtspConnection]:
+    return log.subscriptions.get(timeout=TIMEOUT_S)
 
 
-def served(client: Wire, number: int, title: str) -> int:
-    ask(client, number, title=title)
-    return answer(client).status
+def served(client: RtspConnection, number: int, title: str) -> int:
+    send_set_up(client, number, title=title)
+    return read_answer(client).status
 
 
 def test_a_log_that_is_silent_on_two_connections_is_connected_to_again_in_time(tmp_path: Path) -> None:
     """Silence begins with the last heartbeat; the third connection brings the event of a draining server."""
-    with site(tmp_path, log=Scripted()) as (program, servers, log):
+    with running_program(tmp_path, change_log=Scripted()) as (program, servers, log):
         _, first = follower(log)
         first.sock.sendall(line(1))
         began = time.monotonic()
         follower(log)  # sends nothing at all
         since, third = follower(log)
-        third.sock.sendall(line(log.event([servers[0].row("leaving")])))
+        third.sock.sendall(line(log.append_event([servers[0].list_entry("leaving")])))
         program.wait_for("list 2")
         assert since == 1 and time.monotonic() - began < LIMIT_S + DRAIN_GRACE_S
 
 
 def test_events_missing_in_a_gap_are_requested_again(tmp_path: Path) -> None:
     """A later event and the heartbeat after it would otherwise hide the missing one permanently."""
-    with site(tmp_path, log=Scripted()) as (program, servers, log):
+    with running_program(tmp_path, change_log=Scripted()) as (program, servers, log):
         _, first = follower(log)
-        missing, later = log.event([servers[0].row("leaving")]), log.event([servers[1].row()])
+        missing, later = (
+            log.append_event([servers[0].list_entry("leaving")]),
+            log.append_event([servers[1].list_entry()]),
+        )
         first.sock.sendall(line(later) + line(3))
         since, second = follower(log)
         assert since == 1
@@ -62,34 +73,34 @@
         program.wait_for("list 3")
         client = program.connect()
         assert [served(client, n, f"title-{n}") for n in range(1, 5)] == [200] * 4
-        assert not servers[0].setups
+        assert not servers[0].set_up_sessions
 
 
 def test_a_log_that_has_lost_an_event_permanently_is_still_followed(tmp_path: Path) -> None:
-    with site(tmp_path, log=Scripted()) as (program, servers, log):
+    with running_program(tmp_path, change_log=Scripted()) as (program, servers, log):
         _, wire = follower(log)
-        log.event([])
-        later = log.event([servers[0].row("leaving")])
+        log.append_event([])
+        later = log.append_event([servers[0].list_entry("leaving")])
         wire.sock.sendall(line(later))
         since, wire = follower(log)
         wire.sock.sendall(line(later) + line(3))
         program.wait_for("list 3")
-        wire.sock.sendall(line(log.event([servers[0].row()])))
+        wire.sock.sendall(line(log.append_event([servers[0].list_entry()])))
         program.wait_for("list 4")
-        assert since == 1 and log.followers.empty()
+        assert since == 1 and log.subscriptions.empty()
 
 
 def test_a_log_whose_heartbeat_is_ahead_of_its_events_is_reconnected_with_backoff(tmp_path: Path) -> None:
     """Each connection ends at the first heartbeat, so the delays between them have to grow."""
 
-    class Ahead(ChangeLog):
-        def serve(self, wire: Wire) -> None:
-            words = wire.file.readline().split()
-            self.followers.put((int(words[1]), wire))
+    class Ahead(FakeChangeLog):
+        def serve(self, wire: RtspConnection) -> None:
+            words = wire.reader.readline().split()
+            self.subscriptions.put((int(words[1]), wire))
             with suppress(OSError):
                 wire.sock.sendall(line(9))
 
-    with site(tmp_path, log=Ahead()) as (_, _pumps, log):
+    with running_program(tmp_path, change_log=Ahead()) as (_, _pumps, log):
         reconnections = [follower(log)[0] for _ in range(6)]
         began = time.monotonic()
         follower(log)
@@ -98,44 +109,48 @@
 
 def test_an_empty_full_list_stops_new_set_ups_and_ends_no_session(tmp_path: Path) -> None:
     """It may be a fault of the log, so sessions go on until another list arrives."""
-    with site(tmp_path, 1, log=Scripted()) as (program, servers, log):
+    with running_program(tmp_path, 1, change_log=Scripted()) as (program, servers, log):
         _, wire = follower(log)
         client = program.connect()
-        name = ask(client, 1)
-        assert answer(client).status == 200
-        wire.sock.sendall(line(log.event([], full=True)))
+        name = send_set_up(client, 1)
+        assert read_answer(client).status == 200
+        wire.sock.sendall(line(log.append_event([], full=True)))
         program.wait_for("list 2")
-        ask(client, 2)
-        assert answer(client).status == 503 and len(servers[0].setups) == 1
+        send_set_up(client, 2)
+        assert read_answer(client).status == 503 and len(servers[0].set_up_sessions) == 1
         client.send("TEARDOWN rtsp://media/x RTSP/1.0", name, 2)
-        assert answer(client).status == 200  # no release came before it
+        assert read_answer(client).status == 200  # no release came before it
         assert servers[0].expect("TEARDOWN")[1].session == name
-        wire.sock.sendall(line(log.event([servers[0].row()], full=True)))
+        wire.sock.sendall(line(log.append_event([servers[0].list_entry()], full=True)))
         program.wait_for("list 3")
         assert served(client, 3, "another") == 200
 
 
 def test_the_old_log_is_ignored_after_its_address_has_changed(tmp_path: Path) -> None:
     """An event that the old log sends after the configuration has changed is ignored."""
-    with site(tmp_path, log=Scripted()) as (program, servers, log):
+    with running_program(tmp_path, change_log=Scripted()) as (program, servers, log):
         _, first = follower(log)
         other = Scripted()
-        program.reload(json.dumps({**program.told, "changelog": other.address}))
+        program.reload(json.dumps({**program.initial_config, "changelog": other.address}))
         since, wire = follower(other)
         with suppress(OSError):
-            first.sock.sendall(line(log.event([servers[0].row("leaving")])))
+            first.sock.sendall(line(log.append_event([servers[0].list_entry("leaving")])))
         wire.sock.sendall(
             line(
                 {
                     "seq": 2,
-                    "fleet": {"generation": 1, "reset": False, "instances": [servers[1].row("leaving")]},
+                    "fleet": {
+                        "generation": 1,
+                        "reset": False,
+                        "instances": [servers[1].list_entry("leaving")],
+                    },
                 }
             )
         )
         program.wait_for("list 2")
         client = program.connect()
         assert since == 1 and served(client, 1, "title") == 200
-        assert servers[0].setups and not servers[1].setups
+        assert servers[0].set_up_sessions and not servers[1].set_up_sessions
         other.stop()
 
 
@@ -143,7 +158,7 @@
     """The log is down while they connect; it is followed once it is back, and servers can be reached."""
     sockets = 64
     log = Scripted()
-    with site(tmp_path, 1, log=log, sockets=sockets) as (program, (server,), _):
+    with running_program(tmp_path, 1, change_log=log, sockets=sockets) as (program, (server,), _):
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
         _, first = follower(log)
         port = log.socket.getsockname()[1]
@@ -153,7 +168,7 @@
         back = Scripted(port)
         assert follower(back)[0] == 1
         client = program.connect()
-        assert served(client, 1, "title") == 200 and server.setups
+        assert served(client, 1, "title") == 200 and server.set_up_sessions
         for connection in idle:
             connection.close()
         back.stop()
@@ -161,13 +176,13 @@
 
 def test_a_server_that_leaves_and_another_at_its_address_are_distinct(tmp_path: Path) -> None:
     """Set-ups for the later server go to the same address under its own number."""
-    with site(tmp_path, 1, log=Scripted()) as (program, (server,), log):
+    with running_program(tmp_path, 1, change_log=Scripted()) as (program, (server,), log):
         _, wire = follower(log)
         client = program.connect()
         assert served(client, 1, "title") == 200
-        later = Pump("s-00000007", 0)
+        later = FakeMediaServer("s-00000007", 0)
         later.address = server.address
-        wire.sock.sendall(line(log.event([server.row("left"), later.row()])))
-        assert answer(client, "TEARDOWN").headers["reason"] == "cause=41"
-        assert served(client, 2, "title") == 200 and len(server.setups) == 2
+        wire.sock.sendall(line(log.append_event([server.list_entry("left"), later.list_entry()])))
+        assert read_answer(client, "TEARDOWN").headers["reason"] == "cause=41"
+        assert served(client, 2, "title") == 200 and len(server.set_up_sessions) == 2
         later.stop()
--- a/tests/test_hls.py
+++ b/tests/test_hls.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from cloverhinge.lab.harness import WAIT_S, ChangeLog, Program, Pump, site
+from cloverhinge.lab.harness import TIMEOUT_S, FakeChangeLog, FakeMediaServer, Program, running_program
 
 MASTER = (
     "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=800000\n{0}/low.m3u8\n"
@@ -27,7 +27,7 @@
 MEDIA = '#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXT-X-KEY:METHOD=AES-128,URI="k"\n#EXTINF:4,\nseg1.ts\n'
 
 
-class MediaBox(Pump):
+class MediaBox(FakeMediaServer):
     """A stand-in media server that serves HTTP besides RTSP."""
 
     def __init__(self, name: str, cell: int, arrived: queue.Queue[MediaBox]) -> None:
@@ -54,7 +54,7 @@
                 content = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
                 media_server.puts.append({**content, "id": self.path.split("/")[-1]})
                 media_server.arrived.put(media_server)
-                media_server.may_answer.wait(WAIT_S)
+                media_server.may_answer.wait(TIMEOUT_S)
                 if media_server.drop:
                     self.close_connection = True
                     return
@@ -96,7 +96,7 @@
         self.port = int(program.wait_for(r"HLS on 127\.0\.0\.1:(\d+)")[1])
 
     def get(self, path: str, method: str = "GET") -> tuple[int, dict[str, str], str]:
-        link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT_S)
+        link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=TIMEOUT_S)
         link.request(method, path)
         response = link.getresponse()
         text = response.read().decode()
@@ -105,12 +105,12 @@
 
     def abandon(self, path: str) -> None:
         """Send a fetch and close the connection without reading the answer."""
-        link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT_S)
+        link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=TIMEOUT_S)
         link.request("GET", path)
         link.close()
 
 
-HlsSite = tuple[Program, Player, list[MediaBox], ChangeLog]
+HlsSite = tuple[Program, Player, list[MediaBox], FakeChangeLog]
 
 
 @contextmanager
@@ -131,7 +131,11 @@
         "copies = 3",
     ]
     (folder / "site.toml").write_text("\n".join(lines))
-    with site(folder, pumps=servers, deploy=folder / "site.toml", **more) as (program, _, log):
+    with running_program(folder, servers=servers, site_file=folder / "site.toml", **more) as (
+        program,
+        _,
+        log,
+    ):
         yield program, Player(program), servers, log
 
 
@@ -164,7 +168,7 @@
         path = "/play/paid/intro?play=attempt-1"
         player.abandon(path)
         joined = [pool.submit(player.get, path) for _ in range(10)]
-        servers[0].arrived.get(timeout=WAIT_S)
+        servers[0].arrived.get(timeout=TIMEOUT_S)
         for server in servers:
             server.may_answer.set()
         assert {one.result()[0] for one in joined} == {200}
@@ -186,7 +190,7 @@
         assert count_set_ups(servers) == 1
         if broken in ("malformed", "large"):  # the session was established, but is of no use
             used = next(server for server in servers if server.puts)
-            assert used.deleted.get(timeout=WAIT_S) == used.puts[0]["id"]
+            assert used.deleted.get(timeout=TIMEOUT_S) == used.puts[0]["id"]
 
 
 def test_a_set_up_that_is_not_answered_in_time_is_504_and_is_given_up(tmp_path: Path) -> None:
@@ -196,7 +200,7 @@
             server.may_answer.clear()
         assert [player.get("/play/paid/intro?play=attempt-1")[0] for _ in range(2)] == [504, 504]
         used = next(server for server in servers if server.puts)
-        assert used.deleted.get(timeout=WAIT_S) == used.puts[0]["id"] and count_set_ups(servers) == 1
+        assert used.deleted.get(timeout=TIMEOUT_S) == used.puts[0]["id"] and count_set_ups(servers) == 1
         for server in servers:
             server.may_answer.set()
 
@@ -249,7 +253,7 @@
         other = servers[1 - servers.index(used)]
         assert used.origin in player.get(playlist)[2]
         told_s = time.monotonic()
-        log.tell([used.row("leaving")])
+        log.publish([used.list_entry("leaving")])
         fetch_s = told_s
         while used.origin in player.get(playlist)[2]:
             assert fetch_s - told_s < 0.25, "a manifest fetched so late still names the media server"
@@ -261,7 +265,7 @@
             assert ("#EXT-X-ENDLIST" in text) is (class_name == "paid")
         assert player.get(path)[0] == 200
         assert count_set_ups(servers) == (2 if class_name == "free" else 1)
-        assert used.deleted.get(timeout=WAIT_S) == used.puts[0]["id"]
+        assert used.deleted.get(timeout=TIMEOUT_S) == used.puts[0]["id"]
 
 
 def test_a_media_server_that_drains_during_a_fetch_is_not_in_the_manifest(tmp_path: Path) -> None:
@@ -269,8 +273,8 @@
         for server in servers:
             server.may_answer.clear()
         answer = pool.submit(player.get, "/play/paid/intro?play=attempt-1")
-        used = servers[0].arrived.get(timeout=WAIT_S)
-        log.tell([used.row("leaving")])
+        used = servers[0].arrived.get(timeout=TIMEOUT_S)
+        log.publish([used.list_entry("leaving")])
         program.wait_for("changed")
         used.may_answer.set()
         status, _, text = answer.result()
@@ -282,17 +286,17 @@
     with hls_site(tmp_path, idle_s=0.3) as (_, player, servers, _log):
         playlist = re.findall(r"^/session/\S+", player.get("/play/free/intro?play=attempt-1")[2], re.M)[0]
         used = next(server for server in servers if server.puts)
-        assert used.deleted.get(timeout=WAIT_S) == used.puts[0]["id"]
+        assert used.deleted.get(timeout=TIMEOUT_S) == used.puts[0]["id"]
         assert player.get(playlist)[0] == 410
 
 
 def test_a_silent_or_trickling_connection_is_cut_and_an_idle_one_is_not(tmp_path: Path) -> None:
     """Players could hold connections for ever if bytes that complete no request renewed the time limit."""
     with hls_site(tmp_path) as (_, player, _servers, _log):
-        idle = http.client.HTTPConnection("127.0.0.1", player.port, timeout=WAIT_S)
+        idle = http.client.HTTPConnection("127.0.0.1", player.port, timeout=TIMEOUT_S)
         idle.request("GET", "/nothing")
         assert idle.getresponse().read()
-        silent, slow = (socket.create_connection(("127.0.0.1", player.port), WAIT_S) for _ in range(2))
+        silent, slow = (socket.create_connection(("127.0.0.1", player.port), TIMEOUT_S) for _ in range(2))
         stop = threading.Event()
 
         def trickle() -> None:
@@ -321,14 +325,14 @@
         for server in servers:
             server.status = 503
             server.may_answer.clear()
-        link = http.client.HTTPConnection("127.0.0.1", player.port, timeout=WAIT_S)
+        link = http.client.HTTPConnection("127.0.0.1", player.port, timeout=TIMEOUT_S)
         link.request("GET", f"/play/{class_name}/intro?play=attempt-1")
-        servers[0].arrived.get(timeout=WAIT_S)
+        servers[0].arrived.get(timeout=TIMEOUT_S)
         program.pause()
         for server in servers:
             server.may_answer.set()
         link.close()
-        program.go_on()
+        program.resume()
         assert player.get(f"/play/{class_name}/other?play=attempt-2")[0] == 503
         assert [put["title"] for server in servers for put in server.puts].count("intro") == 1
         # No attempt ran, so it may be tried again; it is refused, as its media servers are full.
