--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -19,15 +19,15 @@
 from benchmarks.members import OPTIMIZED, Rows
 from benchmarks.tables import keep
 from cloverhinge.lab import viewers
-from cloverhinge.lab.media import Limited, MediaBox
-from cloverhinge.lab.rig import Rig, rig
-from cloverhinge.lab.viewers import SITE_KEY, until_rostered
+from cloverhinge.lab.media import LimitedMediaServer, RecordingMediaServer
+from cloverhinge.lab.rig import Rig, running_rig
+from cloverhinge.lab.viewers import HLS_KEY, wait_replica_set
 
 ROUTERS, BOXES, PLACES, LIFE_S, PACE_S = 5, 4, 60, 6.0, 19.0
 BEFORE_S, TITLES = 12.0, 200
 
 
-def tables(boxes: list[MediaBox], stores: bool) -> str:
+def tables(boxes: list[RecordingMediaServer], stores: bool) -> str:
     store = ["[store]", 'folder = "{folder}/store"'] if stores else []
     titles = (f"t{n} = {{ copies = 3, length_s = 20 }}" for n in range(TITLES))
     lines = [
@@ -36,7 +36,7 @@
         *store,
         "[hls]",
         'listen = "127.0.0.1:0"',
-        f'key = "{SITE_KEY}"',
+        f'key = "{HLS_KEY}"',
         "idle_s = 120.0",
         "manifest_kb = 64",
         "[hls.boxes]",
@@ -73,7 +73,9 @@
         router = self.made[at]
         status = 0
         if "HLS" in router.ports:
-            status, _ = viewers.get(self.made, router, f"/play/free/t{title}?play=view-{number:08d}", 4.0)
+            status, _ = viewers.http_get(
+                self.made, router, f"/play/free/t{title}?play=view-{number:08d}", 4.0
+            )
         self.answers.setdefault(second, Counter())[status] += 1
 
     def stop(self) -> None:
@@ -83,15 +85,22 @@
 
 
 def play(stores: bool, after_s: float, seed: int = 1) -> Rows:
-    boxes: list[MediaBox] = [Limited(f"s-{n:08x}", n % 3, PLACES, LIFE_S) for n in range(BOXES)]
+    boxes: list[RecordingMediaServer] = [
+        LimitedMediaServer(f"s-{n:08x}", n % 3, PLACES, LIFE_S) for n in range(BOXES)
+    ]
     rows: Rows = []
     with (
         tempfile.TemporaryDirectory() as name,
-        rig(
-            Path(name), ROUTERS, pumps=boxes, tables=tables(boxes, stores), program=OPTIMIZED, seed=seed
+        running_rig(
+            Path(name),
+            ROUTERS,
+            servers=boxes,
+            site_tables=tables(boxes, stores),
+            program=OPTIMIZED,
+            seed=seed,
         ) as made,
     ):
-        until_rostered(made)
+        wait_replica_set(made)
         crowd = Crowd(made, seed)
         counts: dict[int, list[int]] = {}
 
--- a/benchmarks/custody.py
+++ b/benchmarks/custody.py
@@ -24,10 +24,10 @@
 from benchmarks.members import OPTIMIZED, Rows, figures, share
 from benchmarks.tables import RESULTS, keep
 from cloverhinge.lab import viewers
-from cloverhinge.lab.harness import Quick, answer
-from cloverhinge.lab.media import set_ups
-from cloverhinge.lab.rig import Rig, Router, rig
-from cloverhinge.lab.viewers import custody_of, play, set_up, until_rostered
+from cloverhinge.lab.harness import StatelessMediaServer, read_answer
+from cloverhinge.lab.media import set_ups_by_title
+from cloverhinge.lab.rig import Rig, Router, running_rig
+from cloverhinge.lab.viewers import fetch_manifest, ownership_status, set_up, wait_replica_set
 from cloverhinge.operations import console
 from cloverhinge.ownership import core, model
 from cloverhinge.ownership.register import Phase
@@ -38,7 +38,7 @@
 
 
 def keeping(folder: Path, on: bool, titles: int = 2000) -> AbstractContextManager[Rig]:
-    return viewers.keeping(folder, 5, titles, 600.0, on, program=OPTIMIZED)
+    return viewers.replicating_rig(folder, 5, titles, 600.0, on, program=OPTIMIZED)
 
 
 def until(made: Rig, what: str, holds: Callable[..., bool]) -> None:
@@ -46,17 +46,17 @@
 
 
 def final(made: Rig, router: Router, number: int) -> int:
-    return viewers.final(made, router, number, seconds=SOON_S)[0]
+    return viewers.final_answer(made, router, number, seconds=SOON_S)[0]
 
 
 def ended(made: Rig) -> None:
     """The boxes end all, so that there is room for the next ones."""
-    for box in made.boxes:
+    for box in made.recording_servers:
         for session in list(box.sessions):
-            box.end(session)
+            box.end_session(session)
     until(made, "all ends are heard", lambda: sum(x.status()["standing"] for x in made.routers) == 0)
-    for box in made.boxes:
-        box.ended.clear()
+    for box in made.recording_servers:
+        box.ended_sessions.clear()
 
 
 def killed(on: bool, kills: int) -> dict[str, object]:
@@ -71,7 +71,7 @@
                 told = final(made, victim, one)
                 assert told == 200, (on, one, told, made.record.tail())
             others = [x for x in made.routers if x is not victim]
-            before = sum(custody_of(x)["taken_over"] for x in others) if on else 0
+            before = sum(ownership_status(x)["taken_over"] for x in others) if on else 0
             at = made.record.now()
             victim.kill()
             if on:
@@ -79,7 +79,9 @@
                     until(
                         made,
                         "all are owned again",
-                        lambda others=others, before=before: sum(custody_of(x)["taken_over"] for x in others)
+                        lambda others=others, before=before: sum(
+                            ownership_status(x)["taken_over"] for x in others
+                        )
                         >= before + PLAYS,
                     )
                 except AssertionError as error:
@@ -87,19 +89,21 @@
                         (one, [console.ask(x.ports["admin"], f"custody play-{one:08d}") for x in others])
                         for one in plays
                     ]
-                    raise AssertionError(f"{known}\n{[custody_of(x) for x in others]}\n{error}") from None
+                    raise AssertionError(
+                        f"{known}\n{[ownership_status(x) for x in others]}\n{error}"
+                    ) from None
                 owned.append(made.record.now() - at)
             for one in plays:
                 answers[final(made, draw.choice(others), one)] += 1
             victim.start()
-            victim.until_started()
-            made.until_agreed(seconds=30.0)
+            victim.wait_started()
+            made.wait_agreed(seconds=30.0)
             if on:
-                until_rostered(made)
+                wait_replica_set(made)
             ended(made)
-        counts = set_ups(made.record)
+        counts = set_ups_by_title(made.record)
         twice = sum(x > 1 for x in counts.values())
-        released = sum(1 for _ in made.record.of("released"))
+        released = sum(1 for _ in made.record.events_of("released"))
     row: dict[str, object] = {
         "custody": "on" if on else "off",
         "kills": kills,
@@ -122,31 +126,31 @@
     took = []
     wire, _ = set_up(made, router, f"{first:016x}", "t0", kind)
     wire.send("TEARDOWN rtsp://media/x RTSP/1.0", f"{first:016x}", 2)
-    answer(wire)
+    read_answer(wire)
     for number in range(first + 1, first + count):
         session, begun = f"{number:016x}", time.monotonic()
-        viewers.ask_for(wire, session, "t0", kind)
-        told = answer(wire)
+        viewers.send_titled_set_up(wire, session, "t0", kind)
+        told = read_answer(wire)
         if told.status != 200:
             made.record.pause(0.2)  # a cold box takes a few at a time
             continue
         took.append((time.monotonic() - begun) * 1000.0)
         wire.send("TEARDOWN rtsp://media/x RTSP/1.0", session, 2)
-        answer(wire)
+        read_answer(wire)
     wire.close()
     return took
 
 
 def quick(folder: Path, on: bool) -> Any:
-    boxes = [Quick(f"s-{n:08x}", n) for n in range(2)]
-    return rig(
+    boxes = [StatelessMediaServer(f"s-{n:08x}", n) for n in range(2)]
+    return running_rig(
         folder,
         5,
-        pumps=boxes,
-        gated=False,
+        servers=boxes,
+        uses_server_proxies=False,
         program=OPTIMIZED,
         fleetSize=1,
-        tables="[custody]\nrouters = 5\n" if on else "",
+        site_tables="[custody]\nrouters = 5\n" if on else "",
     )
 
 
@@ -157,7 +161,7 @@
         (Path(name) / "on").mkdir()
         (Path(name) / "off").mkdir()
         with quick(Path(name) / "on", True) as on, quick(Path(name) / "off", False) as off:
-            until_rostered(on)
+            wait_replica_set(on)
             for turn in range(10):
                 for kind in ("paid", "free"):
                     for word, made in (("off", off), ("on", on)):
@@ -197,7 +201,7 @@
             for word in ("on", "off"):
                 (folder / word).mkdir(parents=True)
             with quick(folder / "on", True) as on, quick(folder / "off", False) as off:
-                until_rostered(on)
+                wait_replica_set(on)
                 for part in range(4):
                     for word, made in (("off", off), ("on", on))[:: 1 if part % 2 else -1]:
                         process = made[0].process
@@ -302,12 +306,12 @@
             now = made.record.now()
             for at, when in list(paused.items()):
                 if now >= when:
-                    made[at].wake()
+                    made[at].resume()
                     del paused[at]
             for at, when in list(dead.items()):
                 if now >= when:
                     made[at].start()
-                    made[at].until_started()
+                    made[at].wait_started()
                     del dead[at]
             here = [x for x in range(5) if x not in paused and x not in dead]
             dice = draw.random()
@@ -327,21 +331,21 @@
                 faults["cuts"] += 1
             elif dice < 0.16:
                 made.hub.heal()
-                made.hub.every(loss=draw.choice((0.0, 0.0, 0.1, 0.2)))
+                made.hub.change_default(loss=draw.choice((0.0, 0.0, 0.1, 0.2)))
             else:
                 at = draw.choice(here)
                 again = number > 0 and draw.random() < 0.6
                 one = draw.randrange(max(0, number - 30), number) if again else number
                 number = max(number, one + 1)
-                code, _ = play(made, made[at], one)
+                code, _ = fetch_manifest(made, made[at], one)
                 answers[str(code or "lost")] += 1
         made.hub.heal()
         for at in paused:
-            made[at].wake()
+            made[at].resume()
         for at in dead:
             made[at].start()
-            made[at].until_started()
-        until_rostered(made)
+            made[at].wait_started()
+        wait_replica_set(made)
         return [
             {
                 "minutes": minutes,
@@ -367,7 +371,7 @@
             answers.update(pool.map(lambda router, number=number: final(made, router, number), at))
             if number % 100 == 99:
                 ended(made)
-        counts = set_ups(made.record)
+        counts = set_ups_by_title(made.record)
         return [
             {
                 "plays": count,
@@ -395,11 +399,11 @@
             there = [x for x in made.routers if x.running and "HLS" in x.ports]
             one = draw.randrange(max(0, number - 30), number) if number and draw.random() < 0.5 else number
             number = max(number, one + 1)
-            code, _ = play(made, draw.choice(there), one)
+            code, _ = fetch_manifest(made, draw.choice(there), one)
             answers[str(code or "lost")] += 1
         for router in made.routers:
-            router.until_started()
-        until_rostered(made)
+            router.wait_started()
+        wait_replica_set(made)
         return [
             {
                 "seconds": seconds,
@@ -415,10 +419,10 @@
     """Ten seconds after the last fault: what is left standing, and who has it."""
     made.record.pause(10.0)
     return {
-        "set up twice": sum(x > 1 for x in set_ups(made.record).values()),
-        "stand at the boxes": sum(len(x.sessions) for x in made.boxes),
+        "set up twice": sum(x > 1 for x in set_ups_by_title(made.record).values()),
+        "stand at the boxes": sum(len(x.sessions) for x in made.recording_servers),
         "stand at the routers": sum(x.status()["standing"] for x in made.routers),
-        "unknown": sum(custody_of(x)["unknown"] for x in made.routers),
+        "unknown": sum(ownership_status(x)["unknown"] for x in made.routers),
         "broken invariants": sum(sum(x.status()["broken"].values()) for x in made.routers),
     }
 
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -193,9 +193,15 @@
 
 def paces(folder: Path, door: bool, seconds: float = 4.0, lines: int = 8) -> tuple[float, float]:
     """Set-ups a second, and a second of the router's processor time; viewers ask, hear, end and ask again."""
-    from cloverhinge.lab.harness import SETTINGS, ChangeLog, Quick, Wire, answer
+    from cloverhinge.lab.harness import (
+        SETTINGS,
+        FakeChangeLog,
+        RtspConnection,
+        StatelessMediaServer,
+        read_answer,
+    )
 
-    pumps, log = [Quick(f"s-{n:08x}", n) for n in range(2)], ChangeLog()
+    pumps, log = [StatelessMediaServer(f"s-{n:08x}", n) for n in range(2)], FakeChangeLog()
     with tempfile.TemporaryDirectory() as name:
         config, site = Path(name) / "config.json", Path(name) / "site.toml"
         config.write_text(
@@ -207,7 +213,10 @@
                     "changelog": log.address,
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
                     "settings": SETTINGS,
-                    "known": {"seq": 1, "results": [log.event([x.row() for x in pumps], full=True)]},
+                    "known": {
+                        "seq": 1,
+                        "results": [log.append_event([x.list_entry() for x in pumps], full=True)],
+                    },
                 }
             )
         )
@@ -223,7 +232,7 @@
         counts, until = [0] * lines, time.monotonic() + seconds
 
         def viewer(at: int) -> None:
-            wire = Wire(socket.create_connection(("127.0.0.1", port), 10.0))
+            wire = RtspConnection(socket.create_connection(("127.0.0.1", port), 10.0))
             while time.monotonic() < until:
                 session = f"{at << 32 | counts[at]:016x}"
                 wire.send(
@@ -234,9 +243,9 @@
                     X_Guess="8000.0",
                     X_Dest="home:0;copies:3;top:1;viewer:00000000b4d65521",
                 )
-                served = answer(wire).status == 200
+                served = read_answer(wire).status == 200
                 wire.send("TEARDOWN rtsp://media/x RTSP/1.0", session, 2)
-                answer(wire)
+                read_answer(wire)
                 counts[at] += served
             wire.close()
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -27,8 +27,15 @@
 from benchmarks.tables import RESULTS, keep
 from cloverhinge.emulator.routers import World
 from cloverhinge.lab import checks, schedule
-from cloverhinge.lab.harness import ChangeLog, Program, Quick, Wire, answer, ask
-from cloverhinge.lab.rig import rig
+from cloverhinge.lab.harness import (
+    FakeChangeLog,
+    Program,
+    RtspConnection,
+    StatelessMediaServer,
+    read_answer,
+    send_set_up,
+)
+from cloverhinge.lab.rig import running_rig
 
 Rows = list[dict[str, object]]
 OPTIMIZED = ("-O", "-m", "cloverhinge")
@@ -53,27 +60,27 @@
 def kills() -> Rows:
     """From SIGKILL until the last of the others has told that the router is out."""
     draw, known, back, seen = random.Random(7), [], [], 0
-    with tempfile.TemporaryDirectory() as name, rig(Path(name), MEMBERS, program=OPTIMIZED) as made:
+    with tempfile.TemporaryDirectory() as name, running_rig(Path(name), MEMBERS, program=OPTIMIZED) as made:
         for _ in range(KILLS):
             victim = made[draw.randrange(MEMBERS)]
             made.record.pause(draw.random())
             at = made.record.now()
             victim.signal(9)
             others = [x for x in made.routers if x is not victim]
-            made.until_agreed(others, 30.0)
+            made.wait_agreed(others, 30.0)
             told = [
                 x.ms
-                for x in made.record.of("changed", since_ms=at)
-                if x.told["name"] == victim.name and x.told["to"] == "dead"
+                for x in made.record.events_of("changed", since_ms=at)
+                if x.details["name"] == victim.name and x.details["to"] == "dead"
             ]
             known.append(max(told) - at)
-            victim.until_ended()
+            victim.wait_ended()
             victim.start()
             at = made.record.now()
-            victim.until_started()
-            made.until_agreed(seconds=30.0)
+            victim.wait_started()
+            made.wait_agreed(seconds=30.0)
             back.append(made.record.now() - at)
-        seen = len(checks.all_of(made.record, BOUND_MS))
+        seen = len(checks.all_violations(made.record, BOUND_MS))
     return [
         {"what": f"killed, one of {MEMBERS}: until all others know", **figures(known)},
         {"what": "started again: until all hold one view (with the program's start)", **figures(back)},
@@ -84,7 +91,7 @@
 def heal() -> Rows:
     """From the heal of a cut until all hold one view that stays; the cut lasts until both sides settled."""
     rows: Rows = []
-    with tempfile.TemporaryDirectory() as name, rig(Path(name), 5, program=OPTIMIZED) as made:
+    with tempfile.TemporaryDirectory() as name, running_rig(Path(name), 5, program=OPTIMIZED) as made:
         cuts: dict[str, tuple[list[int], list[int], bool]] = {
             "split 3:2": ([0, 1, 2], [3, 4], True),
             "split 4:1": ([0, 1, 2, 3], [4], True),
@@ -96,14 +103,16 @@
             for _ in range(HEALS):
                 made.hub.cut([f"r{x}" for x in some], [f"r{x}" for x in others], both)
                 larger = max(some, others, key=len)
-                made.until_agreed([made[x] for x in larger], 30.0)
+                made.wait_agreed([made[x] for x in larger], 30.0)
                 made.record.pause(2.0)  # the smaller side settles too, or learns that it is out
                 at = made.record.now()
                 made.hub.heal()
-                made.until_agreed(seconds=30.0)
+                made.wait_agreed(seconds=30.0)
                 made.record.pause(2.0)
                 assert made.agreed(made.routers)
-                took.append(max((x.ms for x in made.record.of("changed", since_ms=at)), default=at) - at)
+                took.append(
+                    max((x.ms for x in made.record.events_of("changed", since_ms=at)), default=at) - at
+                )
             rows.append({"cut": what, **figures(took)})
     return rows
 
@@ -117,26 +126,26 @@
 
 def alone_mb(folder: Path) -> float:
     """A router without members, settled."""
-    log = ChangeLog()
+    log = FakeChangeLog()
     program = Program(folder, [], log)
     try:
-        log.followers.get(timeout=10.0)
+        log.subscriptions.get(timeout=10.0)
         return resident_mb(program.process.pid)
     finally:
-        program.end()
+        program.terminate()
         log.stop()
 
 
 def idle(seconds: float = 20.0) -> Rows:
     """The processor that a router takes without members, to be taken off the others' figures."""
     with tempfile.TemporaryDirectory() as name:
-        log = ChangeLog()
+        log = FakeChangeLog()
         program = Program(Path(name), [], log)
-        log.followers.get(timeout=10.0)
+        log.subscriptions.get(timeout=10.0)
         before = used_s(program.process.pid)
         threading.Event().wait(seconds)
         used = (used_s(program.process.pid) - before) / seconds
-        program.end()
+        program.terminate()
         log.stop()
     return [
         {
@@ -154,7 +163,7 @@
     for count in (3, 16):
         with tempfile.TemporaryDirectory() as name:
             without = alone_mb(Path(name))
-        with tempfile.TemporaryDirectory() as name, rig(Path(name), count) as made:
+        with tempfile.TemporaryDirectory() as name, running_rig(Path(name), count) as made:
             made.record.pause(10.0)
             processes = [x.process.pid for x in made.routers if x.process is not None]
             before = sum(map(used_s, processes)), made.hub.counts["passed"], made.hub.counts["bytes"]
@@ -173,7 +182,7 @@
         )
     for count in (16, 64, 400):
         world = World(count, 3)
-        world.start_known()
+        world.start_joined()
         world.net.run(20_000.0)
         assert world.agreed()
         messages, size, span, begun = world.net.messages, world.net.bytes, 10.0, time.process_time()
@@ -198,16 +207,16 @@
     until, before = time.monotonic() + seconds, used_s(process)
 
     def viewer(at: int) -> None:
-        wire, count = Wire(socket.create_connection(where, 10.0)), 0
+        wire, count = RtspConnection(socket.create_connection(where, 10.0)), 0
         while time.monotonic() < until:
             count += 1
             begun = time.monotonic()
-            session = ask(wire, at << 32 | count)
-            served = answer(wire).status == 200
+            session = send_set_up(wire, at << 32 | count)
+            served = read_answer(wire).status == 200
             took.append((time.monotonic() - begun) * 1000.0)
             assert served
             wire.send("TEARDOWN rtsp://media/x RTSP/1.0", session, 2)
-            answer(wire)
+            read_answer(wire)
         wire.close()
 
     threads = [threading.Thread(target=viewer, args=(at,)) for at in range(lines)]
@@ -227,7 +236,7 @@
     The two take turns, ABBA, so that what the machine does meanwhile meets both.  The rival is one of five
     with members, or, for the spread of like processes, another without.
     """
-    pumps = [[Quick(f"{letter}-{at:04x}{n:04x}", n) for n in range(2)] for letter in "st"]
+    pumps = [[StatelessMediaServer(f"{letter}-{at:04x}{n:04x}", n) for n in range(2)] for letter in "st"]
     with (
         tempfile.TemporaryDirectory() as name,
         ExitStack() as held,
@@ -237,16 +246,23 @@
         for which, stands in enumerate(pumps):
             if which and kind == "with members":
                 made = held.enter_context(
-                    rig(Path(name), 5, pumps=stands, gated=False, fleetSize=1, program=OPTIMIZED)
+                    running_rig(
+                        Path(name),
+                        5,
+                        servers=stands,
+                        uses_server_proxies=False,
+                        fleetSize=1,
+                        program=OPTIMIZED,
+                    )
                 )
                 assert made[0].process is not None
                 routers.append((made[0].ports["listening"], made[0].process.pid))
                 continue
-            log, folder = ChangeLog(), Path(name) / f"alone{which}"
+            log, folder = FakeChangeLog(), Path(name) / f"alone{which}"
             folder.mkdir()
             program = Program(folder, list(stands), log, program=OPTIMIZED, fleetSize=1)
             held.callback(log.stop)
-            held.callback(program.end)
+            held.callback(program.terminate)
             routers.append((("127.0.0.1", program.port), program.process.pid))
         seen: list[list[tuple[int, float, list[float]]]] = [[], []]
         for which in (0, 1):
@@ -295,15 +311,17 @@
 
 def soak(minutes: float) -> Rows:
     """Sixteen processes, a fifth of datagrams lost, random pauses of up to 2 s, busy loops on all cores."""
-    with tempfile.TemporaryDirectory() as name, rig(Path(name), MEMBERS, program=OPTIMIZED) as made:
-        made.hub.every(loss=0.2)
-        made.starve(len(os.sched_getaffinity(0)))
+    with tempfile.TemporaryDirectory() as name, running_rig(Path(name), MEMBERS, program=OPTIMIZED) as made:
+        made.hub.change_default(loss=0.2)
+        made.start_busy_loops(len(os.sched_getaffinity(0)))
         at = made.record.now()
-        schedule.play(made, schedule.pauses(11, MEMBERS, minutes * 60.0, every_s=1.0, most_s=2.0))
-        made.relieve()
-        made.until_agreed(made.routers, 30.0)
-        told: Counter[str] = Counter(x.told["to"] for x in made.record.of("changed", since_ms=at))
-        pauses = sum(x.told.get("signal") == "SIGSTOP" for x in made.record.of("fault"))
+        schedule.run_schedule(
+            made, schedule.random_pauses(11, MEMBERS, minutes * 60.0, every_s=1.0, max_s=2.0)
+        )
+        made.stop_busy_loops()
+        made.wait_agreed(made.routers, 30.0)
+        told: Counter[str] = Counter(x.details["to"] for x in made.record.events_of("changed", since_ms=at))
+        pauses = sum(x.details.get("signal") == "SIGSTOP" for x in made.record.events_of("fault"))
         counters = [x.status()["members"]["counters"] for x in made.routers]
         return [
             {
--- a/benchmarks/members_ways.py
+++ b/benchmarks/members_ways.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from benchmarks.tables import keep
-from cloverhinge.emulator.network import Network, Process, Way
+from cloverhinge.emulator.network import LinkConditions, Network, Process
 from cloverhinge.emulator.routers import World
 from cloverhinge.members.watch import watch_relations
 
@@ -300,7 +300,7 @@
         self.net.pause(self.nodes[number].process)
 
     def wake(self, number: int) -> None:
-        self.net.wake(self.nodes[number].process)
+        self.net.resume(self.nodes[number].process)
 
     def kill(self, number: int) -> None:
         self.nodes[number].process.alive = False
@@ -318,23 +318,25 @@
     def __init__(self, count: int, seed: int) -> None:
         self.world = World(count, seed)
         self.net = self.world.net
-        self.world.start_known()
+        self.world.start_joined()
         self.world.net.run(3000.0)
-        self.world.seen.clear()
+        self.world.changes.clear()
 
     @property
     def removals(self) -> list[tuple[float, int, int]]:
-        return [(x.at_ms, int(x.by[1:]), int(x.what.name[1:])) for x in self.world.told("dead")]
+        return [(x.at_ms, int(x.observer[1:]), int(x.change.name[1:])) for x in self.world.changes_of("dead")]
 
     @property
     def returns(self) -> list[tuple[float, int, int]]:
-        return [(x.at_ms, int(x.by[1:]), int(x.what.name[1:])) for x in self.world.told("returned")]
+        return [
+            (x.at_ms, int(x.observer[1:]), int(x.change.name[1:])) for x in self.world.changes_of("returned")
+        ]
 
     def pause(self, number: int) -> None:
         self.net.pause(self.world.routers[number].process)
 
     def wake(self, number: int) -> None:
-        self.net.wake(self.world.routers[number].process)
+        self.net.resume(self.world.routers[number].process)
 
     def kill(self, number: int) -> None:
         self.world.routers[number].kill()
@@ -378,7 +380,7 @@
 def wrongly_out(way: str, count: int, seed: int, span: float) -> float:
     """Members held for dead a minute that were not, under losses and pauses; once in 5 s for each."""
     rough = WAYS[way](count, seed + 100)
-    rough.net.usual = Way(loss=0.2)
+    rough.net.usual = LinkConditions(loss=0.2)
     draw = random.Random(seed)
     until = rough.net.now + span
     while rough.net.now < until:
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -13,10 +13,10 @@
 from benchmarks.members import OPTIMIZED, Rows, share
 from benchmarks.tables import keep
 from cloverhinge.lab import viewers
-from cloverhinge.lab.harness import Quick
-from cloverhinge.lab.media import set_ups
-from cloverhinge.lab.rig import Rig, rig
-from cloverhinge.lab.viewers import until_rostered
+from cloverhinge.lab.harness import StatelessMediaServer
+from cloverhinge.lab.media import set_ups_by_title
+from cloverhinge.lab.rig import Rig, running_rig
+from cloverhinge.lab.viewers import wait_replica_set
 from cloverhinge.store.folder import Folder
 
 ROUTERS, PLAYS, ROUNDS = 5, 40, 3
@@ -30,8 +30,8 @@
         router.start()
     begun = made.record.now()
     for router in made.routers:
-        router.until_started()
-    until_rostered(made, 30.0)
+        router.wait_started()
+    wait_replica_set(made, 30.0)
     voted = made.record.now() - begun
     told = [final(made, made[(number + 1) % ROUTERS], number) for number in plays]
     return {"votes": voted, "answered": made.record.now() - begun, "200": told.count(200)}
@@ -41,17 +41,19 @@
     rows = []
     with (
         tempfile.TemporaryDirectory() as name,
-        viewers.keeping(Path(name), ROUTERS, ROUNDS * PLAYS, 600.0, stores=stores, program=OPTIMIZED) as made,
+        viewers.replicating_rig(
+            Path(name), ROUTERS, ROUNDS * PLAYS, 600.0, stores=stores, program=OPTIMIZED
+        ) as made,
     ):
         for at in range(ROUNDS):
             plays = range(at * PLAYS, (at + 1) * PLAYS)
             before = [final(made, made[number % ROUTERS], number) for number in plays]
             assert before.count(200) == PLAYS, (before, made.record.tail())
             rows.append(restarted(made, plays))
-            for box in made.boxes:  # room for the next round's
+            for box in made.recording_servers:  # room for the next round's
                 for session in list(box.sessions):
-                    box.end(session)
-        twice = sum(x > 1 for x in set_ups(made.record).values())
+                    box.end_session(session)
+        twice = sum(x > 1 for x in set_ups_by_title(made.record).values())
     return {
         "stores": "on" if stores else "off",
         "restarts of all five": ROUNDS,
@@ -73,13 +75,20 @@
 
 
 def waits(stores: bool, count: int = 400) -> dict[str, object]:
-    boxes = [Quick(f"s-{n:08x}", n) for n in range(2)]
+    boxes = [StatelessMediaServer(f"s-{n:08x}", n) for n in range(2)]
     tables = "[custody]\nrouters = 5\n" + ('[store]\nfolder = "{folder}/store"\n' if stores else "")
     with (
         tempfile.TemporaryDirectory() as name,
-        rig(Path(name), ROUTERS, pumps=boxes, gated=False, program=OPTIMIZED, tables=tables) as made,
+        running_rig(
+            Path(name),
+            ROUTERS,
+            servers=boxes,
+            uses_server_proxies=False,
+            program=OPTIMIZED,
+            site_tables=tables,
+        ) as made,
     ):
-        until_rostered(made)
+        wait_replica_set(made)
         took = paced(made, made[0], "paid", 1, count)
     return {"stores": "on" if stores else "off", **spread(took)}
 
--- a/cloverhinge/emulator/disks.py
+++ b/cloverhinge/emulator/disks.py
@@ -27,7 +27,7 @@
         self.mark = Mark(claim.generation + 1, claim.position + 1)
         return claim, self.mark
 
-    def put(self, now: float, rows: Persist) -> float:
+    def write(self, now: float, rows: Persist) -> float:
         """When it is safe: with the group that begins once the one under way is."""
         under_way = self.pending[0][1] if self.pending else now
         if not self.pending or self.pending[-1][1] == under_way:
@@ -55,7 +55,7 @@
             self.mark = Mark(rows.above.generation + 1, self.mark.position)
         return rows
 
-    def killed(self) -> None:
+    def crash(self) -> None:
         for _ in range(self.random.randint(0, len(self.pending))):
             self.commit()
         self.pending.clear()
--- a/cloverhinge/emulator/network.py
+++ b/cloverhinge/emulator/network.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class LinkConditions:
     """One direction between two processes.  Shares are of messages, times in ms."""
 
     delay_ms: float = 0.2
@@ -33,35 +33,35 @@
     def __init__(self, address: Address) -> None:
         self.address = address
         self.alive, self.paused = True, False
-        self.waiting: list[Callable[[], None]] = []
+        self.queued: list[Callable[[], None]] = []
 
-    def do(self, call: Callable[[], None]) -> None:
+    def run(self, call: Callable[[], None]) -> None:
         if self.alive:
             if self.paused:
-                self.waiting.append(call)
+                self.queued.append(call)
             else:
                 call()
 
 
 class Network:
-    WAITING_MOST = 4096  # events kept for a process that is paused: a socket's buffer is no larger
+    MAX_QUEUED_EVENTS = 4096  # events kept for a process that is paused: a socket's buffer is no larger
 
-    def __init__(self, seed: int, way: Way | None = None) -> None:
+    def __init__(self, seed: int, conditions: LinkConditions | None = None) -> None:
         self.random = random.Random(seed)
         self.now = 1_000_000.0
-        self.usual = way or Way()
-        self.ways: dict[tuple[Address, Address], Way] = {}
+        self.default_conditions = conditions or LinkConditions()
+        self.conditions: dict[tuple[Address, Address], LinkConditions] = {}
         self.processes: dict[Address, Process] = {}
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
         self.messages = 0
         self.bytes = 0
 
-    def way(self, sender: Address, to: Address) -> Way:
-        return self.ways.get((sender, to), self.usual)
+    def conditions_between(self, sender: Address, to: Address) -> LinkConditions:
+        return self.conditions.get((sender, to), self.default_conditions)
 
     def change(self, sender: Address, to: Address, **changed: Any) -> None:
-        self.ways[sender, to] = replace(self.way(sender, to), **changed)
+        self.conditions[sender, to] = replace(self.conditions_between(sender, to), **changed)
 
     def cut(self, some: list[Address], others: list[Address], both: bool = True) -> None:
         for one in some:
@@ -71,21 +71,21 @@
                     self.change(other, one, cut=True)
 
     def heal(self) -> None:
-        self.ways.clear()
+        self.conditions.clear()
 
-    def at(self, ms: float, call: Callable[[], None]) -> None:
+    def schedule(self, ms: float, call: Callable[[], None]) -> None:
         """In `ms` from now."""
         self._count += 1
         heapq.heappush(self._heap, (self.now + ms, self._count, call))
 
     def timer(self, process: Process, ms: float, call: Callable[[], None]) -> None:
-        self.at(ms, lambda: process.do(call))
+        self.schedule(ms, lambda: process.run(call))
 
     def send(
         self, sender: Address, to: Address, size: int, deliver: Callable[[], None], reliable: bool = False
     ) -> bool:
         """Whether anything is on its way.  Over a connection nothing is lost, but a cut stops it."""
-        way = self.way(sender, to)
+        way = self.conditions_between(sender, to)
         self.messages += 1
         self.bytes += size
         if way.cut or not reliable and self.random.random() < way.loss:
@@ -98,22 +98,22 @@
                     delay += 200.0 + delay
             elif self.random.random() < way.late:
                 delay += self.random.random() * way.late_ms
-            self.at(delay, lambda: self._arrive(to, deliver))
+            self.schedule(delay, lambda: self._arrive(to, deliver))
         return True
 
     def _arrive(self, to: Address, deliver: Callable[[], None]) -> None:
         process = self.processes.get(to)
-        if process is not None and (not process.paused or len(process.waiting) < self.WAITING_MOST):
-            process.do(deliver)
+        if process is not None and (not process.paused or len(process.queued) < self.MAX_QUEUED_EVENTS):
+            process.run(deliver)
 
     def pause(self, process: Process) -> None:
         process.paused = True
 
-    def wake(self, process: Process) -> None:
+    def resume(self, process: Process) -> None:
         process.paused = False
-        waiting, process.waiting = process.waiting, []
+        waiting, process.queued = process.queued, []
         for call in waiting:
-            process.do(call)
+            process.run(call)
 
     def run(self, ms: float) -> None:
         until = self.now + ms
--- a/cloverhinge/emulator/routers.py
+++ b/cloverhinge/emulator/routers.py
@@ -10,16 +10,16 @@
 from cloverhinge.members import core, wire
 from cloverhinge.members.watch import watch_relations
 
-SILENT_MS = 1000.0  # a connection that nobody answers is given up after so long
+CONNECT_TIMEOUT_MS = 1000.0  # a connection that nobody answers is given up after so long
 
 
 @dataclass
-class Seen:
+class ObservedChange:
     """One change that one member told of."""
 
     at_ms: float
-    by: str
-    what: core.MemberChanged
+    observer: str
+    change: core.MemberChanged
 
 
 class Router:
@@ -31,9 +31,9 @@
         self.world, self.name, self.site, self.address, self.join = world, name, site, address, join
         self.process = Process(address)
         self.members: core.Membership
-        self.away: list[float] = []
+        self.pauses_ms: list[float] = []
         self.voided: list[core.IncarnationVoided] = []
-        self.said: list[str] = []
+        self.log_lines: list[str] = []
 
     @property
     def running(self) -> bool:
@@ -46,67 +46,74 @@
         self.members = core.Membership(
             self.name, self.site, self.address, self.join, run, run, self.world.rules
         )
-        self.act(self.members.start(net.now))
+        self.perform(self.members.start(net.now))
         net.timer(self.process, net.random.uniform(0.0, core.TICK_MS), self._tick)
 
     def _tick(self) -> None:
-        self.act(self.members.tick(self.world.net.now))
+        self.perform(self.members.tick(self.world.net.now))
         self.world.net.timer(self.process, core.TICK_MS, self._tick)
 
     def kill(self) -> None:
         self.process.alive = False
 
-    def hear(self, carried: core.ComponentMessageReceived) -> None:
+    def receive_component_message(self, message: core.ComponentMessageReceived) -> None:
         """For the parts that a world builds on membership."""
 
-    def act(self, actions: list[core.Action], back: Address | None = None, through: bool = False) -> None:
+    def perform(
+        self, actions: list[core.Action], reply_address: Address | None = None, reliable: bool = False
+    ) -> None:
         net = self.world.net
         for action in actions:
             match action:
                 case core.Send():
-                    to = action.address or back
+                    to = action.address or reply_address
                     assert to is not None
                     body = wire.encode(action.message)
-                    self.carry(to, body, through or wire.HEADER_BYTES + len(body) > wire.MAX_DATAGRAM_BYTES)
+                    self.send(to, body, reliable or wire.HEADER_BYTES + len(body) > wire.MAX_DATAGRAM_BYTES)
                 case core.ConnectProbe():
-                    self.knock(action)
+                    self.connect_probe(action)
                 case core.ProcessPaused():
-                    self.away.append(action.ms)
+                    self.pauses_ms.append(action.ms)
                 case core.MemberChanged():
-                    self.world.seen.append(Seen(net.now, self.name, action))
+                    self.world.changes.append(ObservedChange(net.now, self.name, action))
                 case core.IncarnationVoided():
                     self.voided.append(action)
                 case core.LogLine():
-                    self.said.append(action.text)
+                    self.log_lines.append(action.text)
                 case core.ComponentMessageReceived():
-                    self.hear(action)
+                    self.receive_component_message(action)
 
-    def carry(self, to: Address, body: bytes, reliable: bool = False) -> None:
+    def send(self, to: Address, body: bytes, reliable: bool = False) -> None:
         self.world.net.send(
             self.address,
             to,
             wire.HEADER_BYTES + len(body),
-            lambda: self.world.hear(to, body, self.address, reliable),
+            lambda: self.world.deliver(to, body, self.address, reliable),
             reliable,
         )
 
-    def knock(self, knock: core.ConnectProbe) -> None:
+    def connect_probe(self, probe: core.ConnectProbe) -> None:
         """A connection: refused where no process is, else asked; its end is told in any case."""
         net, sent, process = self.world.net, self.world.net.now, self.process
 
         def over(refused: bool) -> None:
-            process.do(
-                lambda: self.act(self.members.connect_ended(net.now, knock.name, knock.run, sent, refused))
+            process.run(
+                lambda: self.perform(
+                    self.members.connect_ended(net.now, probe.name, probe.run, sent, refused)
+                )
             )
 
-        cut = net.way(self.address, knock.address).cut or net.way(knock.address, self.address).cut
-        there = net.processes.get(knock.address)
+        cut = (
+            net.conditions_between(self.address, probe.address).cut
+            or net.conditions_between(probe.address, self.address).cut
+        )
+        there = net.processes.get(probe.address)
         if not cut and (there is None or not there.alive):
-            net.at(net.usual.delay_ms * 2, lambda: over(True))
+            net.schedule(net.default_conditions.delay_ms * 2, lambda: over(True))
             return
         if not cut:
-            self.carry(knock.address, wire.encode(knock.message), reliable=True)
-        net.at(SILENT_MS, lambda: over(False))
+            self.send(probe.address, wire.encode(probe.message), reliable=True)
+        net.schedule(CONNECT_TIMEOUT_MS, lambda: over(False))
 
 
 @dataclass
@@ -118,7 +125,7 @@
     sites: int = 1
     rules: core.Rules = field(default_factory=core.Rules)
     net: Network = field(init=False)
-    seen: list[Seen] = field(default_factory=list)
+    changes: list[ObservedChange] = field(default_factory=list)
     routers: list[Router] = field(init=False)
 
     def __post_init__(self) -> None:
@@ -126,13 +133,14 @@
         addresses = [(f"127.1.{n // 250}.{n % 250 + 1}", 7000) for n in range(self.count)]
         join = tuple(addresses[:3])
         self.routers = [
-            self.make(f"r{n:03d}", f"s{n % self.sites}", address, join) for n, address in enumerate(addresses)
+            self.make_router(f"r{n:03d}", f"s{n % self.sites}", address, join)
+            for n, address in enumerate(addresses)
         ]
 
-    def make(self, name: str, site: str, address: Address, join: tuple[Address, ...]) -> Router:
+    def make_router(self, name: str, site: str, address: Address, join: tuple[Address, ...]) -> Router:
         return Router(self, name, site, address, join)
 
-    def start_known(self) -> None:
+    def start_joined(self) -> None:
         """As after a long quiet time: all know all, and have just been heard."""
         pairs = watch_relations(tuple(sorted(x.name for x in self.routers)), self.rules.watch)
         for router in self.routers:
@@ -144,7 +152,7 @@
         records = [x.members.own_record for x in self.routers]
         for router in self.routers:
             members = router.members
-            router.act(
+            router.perform(
                 members.receive(
                     self.net.now,
                     wire.Update(sender="rig", run=1, to_run=members.run, number=1, records=records),
@@ -155,11 +163,11 @@
             members._update_monitors(self.net.now)
             for watch in members.monitors.values():
                 watch.record_answer(self.net.now)
-            router.act(members.tick(self.net.now))
+            router.perform(members.tick(self.net.now))
 
-    def hear(self, to: Address, body: bytes, sender: Address, reliable: bool) -> None:
+    def deliver(self, to: Address, body: bytes, sender: Address, reliable: bool) -> None:
         router = self.by_address[to]
-        router.act(router.members.receive(self.net.now, wire.decode(body), sender), sender, reliable)
+        router.perform(router.members.receive(self.net.now, wire.decode(body), sender), sender, reliable)
 
     @property
     def by_address(self) -> dict[Address, Router]:
@@ -179,18 +187,18 @@
         views = [x.members.view() for x in routers]
         return all(view.names == names and view == views[0] for view in views)
 
-    def until_agreed(
-        self, most_ms: float, routers: list[Router] | None = None, step_ms: float = 50.0
+    def run_until_agreed(
+        self, max_ms: float, routers: list[Router] | None = None, step_ms: float = 50.0
     ) -> float:
         """How long until all hold one view; raises where it takes longer than `most_ms`."""
         begun = self.net.now
         while not self.agreed(routers):
-            if self.net.now - begun > most_ms:
+            if self.net.now - begun > max_ms:
                 raise AssertionError(
                     "\n".join(f"{x.name}: {x.members.view()}" for x in routers or self.routers if x.running)
                 )
             self.net.run(step_ms)
         return self.net.now - begun
 
-    def told(self, what: str, since_ms: float = 0.0) -> list[Seen]:
-        return [x for x in self.seen if x.what.change == what and x.at_ms >= since_ms]
+    def changes_of(self, change: str, since_ms: float = 0.0) -> list[ObservedChange]:
+        return [x for x in self.changes if x.change.change == change and x.at_ms >= since_ms]
--- a/cloverhinge/lab/harness.py
+++ b/cloverhinge/lab/harness.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent.parent
-WAIT_S = 10.0  # for what has to come; only a failing test waits so long
+TIMEOUT_S = 10.0  # for what has to come; only a failing test waits so long
 
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -69,11 +69,11 @@
         return int(words[1]) if words[0].startswith("RTSP/") else 0
 
 
-class Wire:
+class RtspConnection:
     """One connection that speaks RTSP."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.file = sock, sock.makefile("rb")
+        self.sock, self.reader = sock, sock.makefile("rb")
 
     def send(self, start: str, session: str = "", cseq: int = 1, body: bytes = b"", **fields: str) -> None:
         lines = [
@@ -90,14 +90,14 @@
     def read(self) -> Message | None:
         """The next message; None at the end of the connection."""
         try:
-            start = self.file.readline().decode().strip()
+            start = self.reader.readline().decode().strip()
             if not start:
                 return None
             headers: dict[str, str] = {}
-            while line := self.file.readline().decode().strip():
+            while line := self.reader.readline().decode().strip():
                 name, _, value = line.partition(":")
                 headers[name.lower()] = value.strip()
-            return Message(start, headers, self.file.read(int(headers.get("content-length", 0))))
+            return Message(start, headers, self.reader.read(int(headers.get("content-length", 0))))
         except (OSError, ValueError):
             return None
 
@@ -106,7 +106,7 @@
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR) if not reset else None
-        self.file.close()
+        self.reader.close()
         self.sock.close()
 
 
@@ -116,79 +116,79 @@
     def __init__(self, port: int = 0) -> None:
         self.socket = socket.create_server(("127.0.0.1", port))
         self.address = "127.0.0.1:%d" % self.socket.getsockname()[1]
-        self.wires: list[Wire] = []
+        self.connections: list[RtspConnection] = []
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
         with suppress(OSError):
             while True:
-                wire = Wire(self.socket.accept()[0])
-                self.wires.append(wire)
+                wire = RtspConnection(self.socket.accept()[0])
+                self.connections.append(wire)
                 threading.Thread(target=self.serve, args=(wire,), daemon=True).start()
 
-    def serve(self, wire: Wire) -> None:
+    def serve(self, wire: RtspConnection) -> None:
         raise NotImplementedError
 
     def stop(self, reset: bool = False) -> None:
         with suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
-        for wire in self.wires:
+        for wire in self.connections:
             wire.close(reset)
 
 
-class Pump(Listener):
+class FakeMediaServer(Listener):
     """Answers tests; what else comes is handed out by `expect`, set-ups answered by `script` first."""
 
     def __init__(self, name: str, cell: int = 0, port: int = 0) -> None:
-        self.name, self.cell, self.inbox = name, cell, queue.Queue[tuple[Wire, Message]]()
-        self.setups: list[str] = []
-        self.tests = 0
+        self.name, self.cell, self.inbox = name, cell, queue.Queue[tuple[RtspConnection, Message]]()
+        self.set_up_sessions: list[str] = []
+        self.probes = 0
         self.load = "x0:0.1;x1:0.1"
-        self.script: Callable[[Wire, Message], None] = self.accept
+        self.on_set_up: Callable[[RtspConnection, Message], None] = self.accept
         super().__init__(port)
 
-    def serve(self, wire: Wire) -> None:
+    def serve(self, wire: RtspConnection) -> None:
         while message := wire.read():
             if message.start.startswith("OPTIONS"):
-                self.tests += 1
+                self.probes += 1
                 wire.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
                 continue
             if message.start.startswith("SETUP"):
-                self.setups.append(message.session)
-                self.script(wire, message)
+                self.set_up_sessions.append(message.session)
+                self.on_set_up(wire, message)
             self.inbox.put((wire, message))
 
-    def accept(self, wire: Wire, message: Message) -> None:
+    def accept(self, wire: RtspConnection, message: Message) -> None:
         wire.send("RTSP/1.0 200 OK", message.session, body=b"made by " + self.name.encode())
 
-    def hold(self, wire: Wire, message: Message) -> None:
+    def leave_unanswered(self, wire: RtspConnection, message: Message) -> None:
         pass
 
-    def expect(self, start: str) -> tuple[Wire, Message]:
-        until = time.monotonic() + WAIT_S
+    def expect(self, start: str) -> tuple[RtspConnection, Message]:
+        until = time.monotonic() + TIMEOUT_S
         while True:
             wire, message = self.inbox.get(timeout=max(0.01, until - time.monotonic()))
             if message.start.startswith(start):
                 return wire, message
 
-    def row(self, state: str = "active") -> dict[str, Any]:
+    def list_entry(self, lifecycle: str = "active") -> dict[str, Any]:
         return {
             "instanceId": self.name,
             "hostPort": self.address,
             "zone": "z",
             "machineType": "box",
             "cell": self.cell,
-            "lifecycle": state,
+            "lifecycle": lifecycle,
             "weight": 1,
             "startedAtMs": 0,
         }
 
 
-class Quick(Pump):
+class StatelessMediaServer(FakeMediaServer):
     """Answers set-ups and questions at once, keeps nothing."""
 
-    def serve(self, wire: Wire) -> None:
+    def serve(self, wire: RtspConnection) -> None:
         while message := wire.read():
             if message.start.startswith("SETUP"):
                 wire.send("RTSP/1.0 200 OK", message.session, body=b"made")
@@ -196,33 +196,33 @@
                 wire.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
 
 
-class ChangeLog(Listener):
+class FakeChangeLog(Listener):
     def __init__(self, port: int = 0) -> None:
         self.events: list[dict[str, Any]] = []
-        self.followers: queue.Queue[tuple[int, Wire]] = queue.Queue()
-        self.beating = True
+        self.subscriptions: queue.Queue[tuple[int, RtspConnection]] = queue.Queue()
+        self.sends_heartbeats = True
         super().__init__(port)
 
-    def event(self, rows: list[dict[str, Any]], full: bool = False) -> dict[str, Any]:
+    def append_event(self, rows: list[dict[str, Any]], full: bool = False) -> dict[str, Any]:
         event = {"seq": len(self.events) + 1, "fleet": {"generation": 1, "reset": full, "instances": rows}}
         self.events.append(event)
         return event
 
-    def tell(self, rows: list[dict[str, Any]]) -> None:
-        line = json.dumps(self.event(rows)).encode() + b"\n"
-        for wire in self.wires:
+    def publish(self, rows: list[dict[str, Any]]) -> None:
+        line = json.dumps(self.append_event(rows)).encode() + b"\n"
+        for wire in self.connections:
             with suppress(OSError):
                 wire.sock.sendall(line)
 
-    def serve(self, wire: Wire) -> None:
-        words = wire.file.readline().split()
+    def serve(self, wire: RtspConnection) -> None:
+        words = wire.reader.readline().split()
         if not words:
             return  # its follower ended before it asked
         since = int(words[1])
-        self.followers.put((since, wire))
+        self.subscriptions.put((since, wire))
         with suppress(OSError):
             wire.sock.sendall(b"".join(json.dumps(event).encode() + b"\n" for event in self.events[since:]))
-            while self.beating and not threading.Event().wait(0.5):
+            while self.sends_heartbeats and not threading.Event().wait(0.5):
                 wire.sock.sendall(b"%d\n" % len(self.events))
 
 
@@ -232,26 +232,29 @@
     def __init__(
         self,
         folder: Path,
-        pumps: list[Pump],
-        log: ChangeLog,
-        deploy: Path | None = None,
+        servers: list[FakeMediaServer],
+        change_log: FakeChangeLog,
+        site_file: Path | None = None,
         sockets: int = 1024,
         program: Sequence[str] = ("-m", "cloverhinge"),
-        operated: bool = False,
+        operator_calls: bool = False,
         listener: socket.socket | None = None,
         **settings: Any,
     ) -> None:
         """`operated`: the staff may call; `listener`: its clients' listening socket is inherited."""
-        known = {"seq": 1, "results": [log.event([pump.row() for pump in pumps], full=True)]}
-        told = self.configuration("n0", log, known, sockets, **settings)
-        self.config, self.told = folder / "config.json", told
-        self.config.write_text(json.dumps(told))
+        known = {
+            "seq": 1,
+            "results": [change_log.append_event([pump.list_entry() for pump in servers], full=True)],
+        }
+        told = self.configuration("n0", change_log, known, sockets, **settings)
+        self.config_path, self.initial_config = folder / "config.json", told
+        self.config_path.write_text(json.dumps(told))
         arguments = [sys.executable, *program, "serve"]
-        if deploy is not None:
-            arguments += ["--site", str(deploy)]
-        self.arguments, self.operated, self.listener = arguments, operated, listener
-        self.environment = {**os.environ, "LB_CONFIG": str(self.config)}
-        if operated:
+        if site_file is not None:
+            arguments += ["--site", str(site_file)]
+        self.arguments, self.operator_calls, self.listener = arguments, operator_calls, listener
+        self.environment = {**os.environ, "LB_CONFIG": str(self.config_path)}
+        if operator_calls:
             self.environment |= {"LB_MGMT": "127.0.0.1:0", "TMPDIR": str(folder)}
         if listener is not None:
             self.environment["LB_LISTEN_FD"] = str(listener.fileno())
@@ -268,11 +271,11 @@
             pass_fds=inherited,
         )
         self.log: list[str] = []
-        self.lines: queue.Queue[str] = queue.Queue()
+        self.unread_lines: queue.Queue[str] = queue.Queue()
         threading.Thread(target=self._read, daemon=True).start()
         try:
-            if self.operated:
-                self.mgmt = int(self.wait_for(r"n0: operators at 127\.0\.0\.1:(\d+)")[1])
+            if self.operator_calls:
+                self.operator_port = int(self.wait_for(r"n0: operators at 127\.0\.0\.1:(\d+)")[1])
             self.port = int(self.wait_for(r"n0: listening on 127\.0\.0\.1:(\d+)")[1])
         except AssertionError:
             self.process.kill()  # nobody else would
@@ -284,21 +287,21 @@
         other._start()
         return other
 
-    def call(self, line: str) -> list[str]:
+    def operator_call(self, line: str) -> list[str]:
         """The lines of the answer to a call of the staff."""
-        with socket.create_connection(("127.0.0.1", self.mgmt), WAIT_S) as link:
+        with socket.create_connection(("127.0.0.1", self.operator_port), TIMEOUT_S) as link:
             link.sendall(line.encode() + b"\n")
             return link.makefile("rb").read().decode().splitlines()
 
     @staticmethod
     def configuration(
-        name: str, log: ChangeLog, known: dict[str, Any], sockets: int = 1024, **settings: Any
+        name: str, change_log: FakeChangeLog, known: dict[str, Any], sockets: int = 1024, **settings: Any
     ) -> dict[str, Any]:
         return {
             "name": name,
             "listen": "127.0.0.1:0",
             "seed": "8c1f30d27a5be964",
-            "changelog": log.address,
+            "changelog": change_log.address,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
             "known": known,
             "settings": {**SETTINGS, **settings},
@@ -308,25 +311,25 @@
         assert self.process.stderr is not None
         for line in self.process.stderr:
             self.log.append(line)
-            self.lines.put(line)
+            self.unread_lines.put(line)
 
     def wait_for(self, pattern: str) -> re.Match[str]:
-        until = time.monotonic() + WAIT_S
+        until = time.monotonic() + TIMEOUT_S
         while True:
             try:
-                line = self.lines.get(timeout=max(0.01, until - time.monotonic()))
+                line = self.unread_lines.get(timeout=max(0.01, until - time.monotonic()))
             except queue.Empty:
                 raise AssertionError(f"no {pattern!r} in:\n{''.join(self.log)}") from None
             if found := re.search(pattern, line):
                 return found
 
-    def connect(self) -> Wire:
-        sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT_S)
+    def connect(self) -> RtspConnection:
+        sock = socket.create_connection(("127.0.0.1", self.port), timeout=TIMEOUT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is written is there at once
-        return Wire(sock)
+        return RtspConnection(sock)
 
     def reload(self, text: str) -> None:
-        self.config.write_text(text)
+        self.config_path.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
     def pause(self) -> None:
@@ -334,44 +337,47 @@
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.process.send_signal(signal.SIGCONT)
 
-    def go_on_after(self, seconds: float, client: Wire) -> None:
+    def resume_after(self, seconds: float, client: RtspConnection) -> None:
         """Lets limits on time pass while it stands still; nothing comes to the client meanwhile."""
         select.select([client.sock], [], [], seconds)
-        self.go_on()
+        self.resume()
 
-    def end(self) -> int:
+    def terminate(self) -> int:
         self.process.send_signal(signal.SIGTERM)
-        return self.process.wait(WAIT_S)
+        return self.process.wait(TIMEOUT_S)
 
 
 @contextmanager
-def site(
+def running_program(
     folder: Path,
     count: int = 2,
-    pumps: Sequence[Pump] = (),
-    log: ChangeLog | None = None,
+    servers: Sequence[FakeMediaServer] = (),
+    change_log: FakeChangeLog | None = None,
     **more: Any,
-) -> Iterator[tuple[Program, list[Pump], ChangeLog]]:
+) -> Iterator[tuple[Program, list[FakeMediaServer], FakeChangeLog]]:
     """A program with so many pumps, one a cell; it has to end without an escaped exception."""
-    pumps, log = list(pumps) or [Pump(f"s-{n:08x}", n) for n in range(count)], log or ChangeLog()
-    program = Program(folder, pumps, log, **more)
+    servers, change_log = (
+        list(servers) or [FakeMediaServer(f"s-{n:08x}", n) for n in range(count)],
+        change_log or FakeChangeLog(),
+    )
+    program = Program(folder, servers, change_log, **more)
     try:
-        yield program, pumps, log
+        yield program, servers, change_log
         if program.process.poll() is None:
-            assert program.end() == 0
+            assert program.terminate() == 0
         assert "Traceback" not in "".join(program.log), "".join(program.log)
     finally:
         program.process.kill()
         program.process.wait()
-        for listener in (*pumps, log):
+        for listener in (*servers, change_log):
             listener.stop()
 
 
-def ask(
-    wire: Wire,
+def send_set_up(
+    connection: RtspConnection,
     number: int,
     class_name: str = "free",
     wait_ms: int = 3000,
@@ -381,7 +387,7 @@
 ) -> str:
     """Write a set-up; returns its session."""
     name = f"{number:016x}"
-    wire.send(
+    connection.send(
         f"SETUP rtsp://media/{title} RTSP/1.0",
         name,
         body=body,
@@ -393,13 +399,13 @@
     return name
 
 
-def ping(wire: Wire) -> None:
+def ping(connection: RtspConnection) -> None:
     """A test that is passed: the program has read what came on this connection before."""
-    wire.send("OPTIONS rtsp://media/ping RTSP/1.0", "00000000000000aa", 3)
-    assert answer(wire).status == 200
+    connection.send("OPTIONS rtsp://media/ping RTSP/1.0", "00000000000000aa", 3)
+    assert read_answer(connection).status == 200
 
 
-def answer(wire: Wire, start: str = "RTSP/1.0") -> Message:
-    message = wire.read()
+def read_answer(connection: RtspConnection, start: str = "RTSP/1.0") -> Message:
+    message = connection.read()
     assert message is not None and message.start.startswith(start), message and message.start
     return message
--- a/cloverhinge/lab/media.py
+++ b/cloverhinge/lab/media.py
@@ -13,7 +13,7 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any
 
-from cloverhinge.lab.harness import WAIT_S, Message, Pump, Wire
+from cloverhinge.lab.harness import TIMEOUT_S, FakeMediaServer, Message, RtspConnection
 from cloverhinge.lab.record import Event, Record
 
 MASTER = (
@@ -23,7 +23,7 @@
 MEDIA = "#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXTINF:4,\nseg1.ts\n"
 
 
-class MediaBox(Pump):
+class RecordingMediaServer(FakeMediaServer):
     """`sessions` stand here now, by name, with their titles.
 
     `before` closed holds a set-up before the box takes it, `after` holds its answer back.
@@ -33,59 +33,61 @@
         self.record = record or Record()
         self.sessions: dict[str, str] = {}
         self.lock = threading.Lock()
-        self.ended: list[str] = []  # told again on each new connection, as whose they are may have changed
-        self.before, self.after = threading.Event(), threading.Event()
-        self.before.set()
-        self.after.set()
-        self.web = _Server(("127.0.0.1", 0), _handler(self))
-        self.web.daemon_threads = True
-        self.origin = "127.0.0.1:%d" % self.web.server_port
-        threading.Thread(target=self.web.serve_forever, args=(0.05,), daemon=True).start()
+        self.ended_sessions: list[
+            str
+        ] = []  # told again on each new connection, as whose they are may have changed
+        self.may_set_up, self.may_answer = threading.Event(), threading.Event()
+        self.may_set_up.set()
+        self.may_answer.set()
+        self.http_server = _Server(("127.0.0.1", 0), _handler(self))
+        self.http_server.daemon_threads = True
+        self.origin = "127.0.0.1:%d" % self.http_server.server_port
+        threading.Thread(target=self.http_server.serve_forever, args=(0.05,), daemon=True).start()
         super().__init__(name, cell)
-        self.script = self.take
+        self.on_set_up = self.start_set_up
 
-    def noted(self, what: str, session: str, title: str = "") -> Event:
+    def record_event(self, what: str, session: str, title: str = "") -> Event:
         return self.record.add(self.name, what, session=session, title=title)
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether it turns set-ups away now."""
         return False
 
     def set_up(self, session: str, title: str, kind: str) -> None:
         """In two steps, each of which a test may hold up: it is asked, and it stands."""
         self.record.add(self.name, "asked", session=session, title=title, kind=kind)
-        self.before.wait(WAIT_S)
+        self.may_set_up.wait(TIMEOUT_S)
         with self.lock:
             self.sessions[session] = title
-        self.noted("stands", session, title)
-        self.after.wait(WAIT_S)
+        self.record_event("stands", session, title)
+        self.may_answer.wait(TIMEOUT_S)
 
     def release(self, session: str) -> None:
         with self.lock:
             title = self.sessions.pop(session, None)
-        self.noted("released" if title is not None else "released in vain", session, title or "")
+        self.record_event("released" if title is not None else "released in vain", session, title or "")
 
-    def end(self, session: str) -> None:
+    def end_session(self, session: str) -> None:
         """The box ends it: told on all lines to it, as one of them is its router's."""
         with self.lock:
             self.sessions.pop(session, None)
-            self.ended.append(session)
-        self.noted("ended", session)
-        for wire in list(self.wires):
-            self._tell_end(wire, session)
+            self.ended_sessions.append(session)
+        self.record_event("ended", session)
+        for wire in list(self.connections):
+            self._send_end(wire, session)
 
     @staticmethod
-    def _tell_end(wire: Wire, session: str) -> None:
+    def _send_end(wire: RtspConnection, session: str) -> None:
         with suppress(OSError):
             wire.send("TEARDOWN rtsp://media/session RTSP/1.0", session, 2, Reason="cause=16")
 
     # RTSP
 
-    def take(self, wire: Wire, message: Message) -> None:
+    def start_set_up(self, wire: RtspConnection, message: Message) -> None:
         threading.Thread(target=self._answer, args=(wire, message), daemon=True).start()
 
-    def _answer(self, wire: Wire, message: Message) -> None:
-        if self.full():
+    def _answer(self, wire: RtspConnection, message: Message) -> None:
+        if self.is_full():
             wire.send("RTSP/1.0 453 Not Enough Bandwidth", message.session)
             return
         self.set_up(
@@ -96,55 +98,55 @@
         with suppress(OSError):  # the router may be gone
             wire.send("RTSP/1.0 200 OK", message.session, body=b"made by " + self.name.encode())
 
-    def serve(self, wire: Wire) -> None:
-        for session in list(self.ended):
-            self._tell_end(wire, session)
+    def serve(self, wire: RtspConnection) -> None:
+        for session in list(self.ended_sessions):
+            self._send_end(wire, session)
         while message := wire.read():
             with suppress(OSError):
                 if message.start.startswith("OPTIONS"):
-                    self.tests += 1
+                    self.probes += 1
                     wire.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
                 elif message.start.startswith("SETUP"):
-                    self.script(wire, message)
+                    self.on_set_up(wire, message)
                 elif message.start.startswith("TEARDOWN"):
                     self.release(message.session)
                     wire.send("RTSP/1.0 200 OK", message.session, 2)
 
     def stop(self, reset: bool = False) -> None:
-        self.before.set()
-        self.after.set()
+        self.may_set_up.set()
+        self.may_answer.set()
         super().stop(reset)
-        self.web.shutdown()
-        self.web.server_close()
+        self.http_server.shutdown()
+        self.http_server.server_close()
 
 
-class Limited(MediaBox):
+class LimitedMediaServer(RecordingMediaServer):
     """So many places, sessions of one length, and a load that says so."""
 
-    def __init__(self, name: str, cell: int, places: int, life_s: float) -> None:
-        self.places, self.life_s = places, life_s
+    def __init__(self, name: str, cell: int, max_sessions: int, session_life_s: float) -> None:
+        self.max_sessions, self.session_life_s = max_sessions, session_life_s
         super().__init__(name, cell)
 
     @property
     def load(self) -> str:
-        return f"x0:{len(self.sessions) / self.places:.2f};x1:0.1"
+        return f"x0:{len(self.sessions) / self.max_sessions:.2f};x1:0.1"
 
     @load.setter
     def load(self, told: str) -> None:
         """Its sessions say it."""
 
-    def full(self) -> bool:
-        return len(self.sessions) >= self.places
+    def is_full(self) -> bool:
+        return len(self.sessions) >= self.max_sessions
 
     def set_up(self, session: str, title: str, kind: str) -> None:
         super().set_up(session, title, kind)
-        ends = threading.Timer(self.life_s, self._over, (session,))
+        ends = threading.Timer(self.session_life_s, self._over, (session,))
         ends.daemon = True
         ends.start()
 
     def _over(self, session: str) -> None:
         if session in self.sessions:
-            self.end(session)
+            self.end_session(session)
 
 
 class _Server(ThreadingHTTPServer):
@@ -154,7 +156,7 @@
         """A router that is gone before its answer is no news here."""
 
 
-def _handler(box: MediaBox) -> type[BaseHTTPRequestHandler]:
+def _handler(box: RecordingMediaServer) -> type[BaseHTTPRequestHandler]:
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
 
@@ -168,7 +170,7 @@
         def do_PUT(self) -> None:
             told = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
             name = self.path.split("/")[2]
-            if box.full():
+            if box.is_full():
                 self.answer(503)
                 return
             box.set_up(name, told["title"], told["class"])
@@ -195,6 +197,6 @@
     return Handler
 
 
-def set_ups(record: Record, kind: str = "paid") -> Counter[str]:
+def set_ups_by_title(record: Record, kind: str = "paid") -> Counter[str]:
     """How often each title was asked for at any box: with a title for each play, set-ups of that play."""
-    return Counter(x.told["title"] for x in record.of("asked") if x.told["kind"] == kind)
+    return Counter(x.details["title"] for x in record.events_of("asked") if x.details["kind"] == kind)
--- a/cloverhinge/lab/record.py
+++ b/cloverhinge/lab/record.py
@@ -10,15 +10,15 @@
 from pathlib import Path
 from typing import Any
 
-MOST = 1_000_000  # events of a run; one more ends it with an error
+MAX_EVENTS = 1_000_000  # events of a run; one more ends it with an error
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
     ms: float  # since the run began
-    who: str  # a router, a box, the hub or the rig
-    what: str  # log, changed, fault, started, ended, ...
-    told: dict[str, Any] = field(default_factory=dict)
+    source: str  # a router, a box, the hub or the rig
+    kind: str  # log, changed, fault, started, ended, ...
+    details: dict[str, Any] = field(default_factory=dict)
 
 
 class Record:
@@ -26,42 +26,48 @@
 
     def __init__(self) -> None:
         self.events: list[Event] = []
-        self.begun = time.monotonic()
-        self._news = threading.Condition()
+        self.started_s = time.monotonic()
+        self._changed = threading.Condition()
 
     def now(self) -> float:
-        return (time.monotonic() - self.begun) * 1000.0
+        return (time.monotonic() - self.started_s) * 1000.0
 
-    def add(self, who: str, what: str, **told: Any) -> Event:
-        with self._news:
-            if len(self.events) >= MOST:
-                raise OverflowError(f"a run holds {MOST} events at the most")
-            event = Event(self.now(), who, what, told)
+    def add(self, event_source: str, event_kind: str, **details: Any) -> Event:
+        with self._changed:
+            if len(self.events) >= MAX_EVENTS:
+                raise OverflowError(f"a run holds {MAX_EVENTS} events at the most")
+            event = Event(self.now(), event_source, event_kind, details)
             self.events.append(event)
-            self._news.notify_all()
+            self._changed.notify_all()
         return event
 
-    def until(self, holds: Callable[[], bool], seconds: float, what: str) -> float:
+    def wait_until(self, condition: Callable[[], bool], seconds: float, description: str) -> float:
         """Milliseconds until it holds, asked again at each event; AssertionError where it doesn't come."""
         begun = time.monotonic()
-        with self._news:
-            if not self._news.wait_for(holds, seconds):
-                raise AssertionError(f"{what}: not within {seconds:.0f} s\n{self.tail()}")
+        with self._changed:
+            if not self._changed.wait_for(condition, seconds):
+                raise AssertionError(f"{description}: not within {seconds:.0f} s\n{self.tail()}")
         return (time.monotonic() - begun) * 1000.0
 
     def pause(self, seconds: float) -> None:
         """A schedule's time: for as long as faults are to last, not for what has to come."""
-        with self._news:
-            self._news.wait_for(lambda: False, seconds)
+        with self._changed:
+            self._changed.wait_for(lambda: False, seconds)
 
-    def of(self, what: str, who: str | None = None, since_ms: float = 0.0) -> Iterator[Event]:
-        return (x for x in list(self.events) if x.what == what and x.ms >= since_ms and who in (None, x.who))
+    def events_of(self, kind: str, source: str | None = None, since_ms: float = 0.0) -> Iterator[Event]:
+        return (
+            x for x in list(self.events) if x.kind == kind and x.ms >= since_ms and source in (None, x.source)
+        )
 
-    def tail(self, most: int = 60) -> str:
-        return "\n".join(f"{x.ms:9.1f} {x.who:8} {x.what:8} {x.told}" for x in self.events[-most:])
+    def tail(self, max_events: int = 60) -> str:
+        return "\n".join(
+            f"{x.ms:9.1f} {x.source:8} {x.kind:8} {x.details}" for x in self.events[-max_events:]
+        )
 
     def write(self, path: Path) -> None:
         """As lines of JSON."""
         with path.open("w", encoding="utf-8") as file:
             for x in self.events:
-                file.write(json.dumps({"ms": round(x.ms, 1), "who": x.who, "what": x.what, **x.told}) + "\n")
+                file.write(
+                    json.dumps({"ms": round(x.ms, 1), "who": x.source, "what": x.kind, **x.details}) + "\n"
+                )
--- a/cloverhinge/lab/schedule.py
+++ b/cloverhinge/lab/schedule.py
@@ -11,7 +11,7 @@
 
 from cloverhinge.lab.rig import Rig
 
-ACTS = (
+ACTIONS = (
     "kill",
     "start",
     "pause",
@@ -32,13 +32,15 @@
 @dataclass(frozen=True, slots=True)
 class Step:
     at_s: float
-    act: str
-    who: tuple[int, ...] = ()  # numbers of routers
+    action: str
+    routers: tuple[int, ...] = ()  # numbers of routers
     others: tuple[int, ...] = ()
-    told: dict[str, Any] = field(default_factory=dict)  # of ways: loss, delay_ms, ...; of starve: processors
+    parameters: dict[str, Any] = field(
+        default_factory=dict
+    )  # of ways: loss, delay_ms, ...; of starve: processors
 
 
-def read(path: Path) -> list[Step]:
+def read_schedule(path: Path) -> list[Step]:
     """A TOML file of [[step]] tables; ValueError with the number of the step at fault."""
     steps = []
     for at, one in enumerate(tomllib.loads(path.read_text(encoding="utf-8")).get("step", []), 1):
@@ -53,23 +55,23 @@
             )
         except (KeyError, TypeError, ValueError) as error:
             raise ValueError(f"{path}: step {at}: {error}") from None
-        if step.act not in ACTS:
-            raise ValueError(f"{path}: step {at}: nothing is called {step.act}")
+        if step.action not in ACTIONS:
+            raise ValueError(f"{path}: step {at}: nothing is called {step.action}")
         steps.append(step)
     return sorted(steps, key=lambda x: x.at_s)
 
 
-def pauses(seed: int, routers: int, seconds: float, every_s: float, most_s: float) -> list[Step]:
+def random_pauses(seed: int, routers: int, seconds: float, every_s: float, max_s: float) -> list[Step]:
     """Random pauses of up to `most_s`, one router at a time, every `every_s` on the mean."""
     draw, now, steps = random.Random(seed), 0.0, []
-    while (now := now + draw.expovariate(1.0 / every_s)) < seconds - most_s:
-        who, lasts = (draw.randrange(routers),), draw.uniform(0.1, most_s)
+    while (now := now + draw.expovariate(1.0 / every_s)) < seconds - max_s:
+        who, lasts = (draw.randrange(routers),), draw.uniform(0.1, max_s)
         steps += [Step(now, "pause", who), Step(now + lasts, "wake", who)]
         now += lasts
     return steps
 
 
-def faults(seed: int, routers: int, seconds: float, every_s: float) -> list[Step]:
+def random_faults(seed: int, routers: int, seconds: float, every_s: float) -> list[Step]:
     """Random kills with restarts, pauses and cuts, one after the other, each undone before the next."""
     draw, now, steps = random.Random(seed), 0.0, []
     while (now := now + draw.uniform(0.5, 1.5) * every_s) < seconds - every_s:
@@ -87,19 +89,19 @@
     return steps
 
 
-def play(rig: Rig, steps: Sequence[Step]) -> None:
+def run_schedule(rig: Rig, steps: Sequence[Step]) -> None:
     """Each step at its time, counted from the call; what is behind its time is done at once."""
     begun = rig.record.now()
     for step in steps:
         left = begun + step.at_s * 1000.0 - rig.record.now()
         if left > 0.0:
             rig.record.pause(left / 1000.0)
-        _do(rig, step)
+        _perform(rig, step)
 
 
-def _do(rig: Rig, step: Step) -> None:
-    who, others = [rig[x] for x in step.who], [rig[x] for x in step.others]
-    match step.act:
+def _perform(rig: Rig, step: Step) -> None:
+    who, others = [rig[x] for x in step.routers], [rig[x] for x in step.others]
+    match step.action:
         case "kill":
             for one in who:
                 one.kill()
@@ -111,22 +113,22 @@
                 one.pause()
         case "wake":
             for one in who:
-                one.wake()
+                one.resume()
         case "terminate":
             for one in who:
                 one.terminate()
         case "cut" | "mute":
-            rig.hub.cut(rig.names(who), rig.names(others), both=step.act == "cut")
+            rig.hub.cut(rig.names(who), rig.names(others), both=step.action == "cut")
         case "ways":
-            rig.hub.every(**step.told)
+            rig.hub.change_default(**step.parameters)
         case "heal":
             rig.hub.heal()
         case "hold" | "let_go" | "reset":
-            call = getattr(rig.hub, step.act)
+            call = getattr(rig.hub, step.action)
             for one in who:
                 for other in others:
                     call(one.name, other.name)
         case "starve":
-            rig.starve(**step.told)
+            rig.start_busy_loops(**step.parameters)
         case "relieve":
-            rig.relieve()
+            rig.stop_busy_loops()
--- a/cloverhinge/lab/viewers.py
+++ b/cloverhinge/lab/viewers.py
@@ -11,21 +11,21 @@
 from pathlib import Path
 from typing import Any
 
-from cloverhinge.lab.harness import WAIT_S, Message, Wire
-from cloverhinge.lab.media import MediaBox
-from cloverhinge.lab.rig import Rig, Router, rig
+from cloverhinge.lab.harness import TIMEOUT_S, Message, RtspConnection
+from cloverhinge.lab.media import RecordingMediaServer
+from cloverhinge.lab.rig import Rig, Router, running_rig
 
-SOON_S = 20.0  # for what has to come, also on a busy machine
-SITE_KEY = "0123456789abcdef0123456789abcdef"
+BUSY_TIMEOUT_S = 20.0  # for what has to come, also on a busy machine
+HLS_KEY = "0123456789abcdef0123456789abcdef"
 
 
 @contextmanager
-def keeping(
+def replicating_rig(
     folder: Path,
     count: int,
     titles: int,
     idle_s: float,
-    custody: bool = True,
+    ownership: bool = True,
     stores: bool = False,
     **more: Any,
 ) -> Iterator[Rig]:
@@ -33,12 +33,12 @@
 
     `stores`: each has a folder `store` beside its files.
     """
-    boxes = [MediaBox(f"s-{n:08x}", n % 3) for n in range(4)]
+    boxes = [RecordingMediaServer(f"s-{n:08x}", n % 3) for n in range(4)]
     lines = [
-        *(["[custody]", f"routers = {count}"] if custody else []),
+        *(["[custody]", f"routers = {count}"] if ownership else []),
         "[hls]",
         'listen = "127.0.0.1:0"',
-        f'key = "{SITE_KEY}"',
+        f'key = "{HLS_KEY}"',
         f"idle_s = {idle_s}",
         "manifest_kb = 64",
         "[hls.boxes]",
@@ -47,13 +47,13 @@
         *(f"t{n} = {{ copies = 3 }}" for n in range(titles)),
         *(["[store]", 'folder = "{folder}/store"'] if stores else []),
     ]
-    with rig(folder, count, pumps=boxes, tables="\n".join(lines), **more) as made:
-        if custody:
-            until_rostered(made)
+    with running_rig(folder, count, servers=boxes, site_tables="\n".join(lines), **more) as made:
+        if ownership:
+            wait_replica_set(made)
         yield made
 
 
-def until_rostered(made: Rig, seconds: float = SOON_S) -> None:
+def wait_replica_set(made: Rig, seconds: float = BUSY_TIMEOUT_S) -> None:
     """All that run vote in one roster of just them, as their logs say."""
     here = [x for x in made.routers if x.running]
     names = ", ".join(sorted(x.name for x in here))
@@ -62,9 +62,9 @@
         numbers = set()
         for router in here:
             lines = [
-                x.told["line"]
-                for x in made.record.of("log", router.name, router.begun_ms)
-                if " custody: " in x.told["line"]
+                x.details["line"]
+                for x in made.record.events_of("log", router.name, router.started_ms)
+                if " custody: " in x.details["line"]
             ]
             roster = [x for x in lines if " custody: roster " in x]
             found = re.search(r"custody: roster (\d+): ([^;]*)", roster[-1]) if roster else None
@@ -77,15 +77,15 @@
             numbers.add(found[1])
         return len(numbers) == 1
 
-    made.record.until(rostered, seconds, f"one roster of {names}")
+    made.record.wait_until(rostered, seconds, f"one roster of {names}")
 
 
-def custody_of(router: Router) -> dict[str, Any]:
+def ownership_status(router: Router) -> dict[str, Any]:
     told: dict[str, Any] = router.status()["custody"]
     return told
 
 
-def get(made: Rig, router: Router, path: str, wait_s: float = WAIT_S) -> tuple[int, str]:
+def http_get(made: Rig, router: Router, path: str, wait_s: float = TIMEOUT_S) -> tuple[int, str]:
     """Status and text; status 0 where the router was lost before it answered."""
     status, text = 0, ""
     with suppress(OSError, http.client.HTTPException):
@@ -100,38 +100,38 @@
     return status, text
 
 
-def play(made: Rig, router: Router, number: int, kind: str = "paid") -> tuple[int, str]:
+def fetch_manifest(made: Rig, router: Router, number: int, service_class: str = "paid") -> tuple[int, str]:
     """Fetches the manifest of the play `number`, whose title is its own."""
-    return get(made, router, f"/play/{kind}/t{number}?play=play-{number:08d}")
+    return http_get(made, router, f"/play/{service_class}/t{number}?play=play-{number:08d}")
 
 
-def final(
-    made: Rig, router: Router, number: int, kind: str = "paid", seconds: float = SOON_S
+def final_answer(
+    made: Rig, router: Router, number: int, service_class: str = "paid", seconds: float = BUSY_TIMEOUT_S
 ) -> tuple[int, str]:
     """Comes back as long as it is told to; 410 for a playlist that ends."""
     deadline = time.monotonic() + seconds
     while True:
-        code, text = play(made, router, number, kind)
+        code, text = fetch_manifest(made, router, number, service_class)
         if code != 503 or time.monotonic() > deadline:
             return (410 if "ENDLIST" in text else code), text
 
 
-def ask_for(wire: Wire, session: str, title: str, kind: str) -> None:
+def send_titled_set_up(wire: RtspConnection, session: str, title: str, service_class: str) -> None:
     wire.send(
         f"SETUP rtsp://media/{title} RTSP/1.0",
         session,
-        X_Call_Class=kind,
+        X_Call_Class=service_class,
         X_Ring_Limit="2500",
         X_Dest="home:0;copies:3;top:1",
     )
 
 
 def set_up(
-    made: Rig, router: Router, session: str, title: str, kind: str = "paid"
-) -> tuple[Wire, Message | None]:
+    made: Rig, router: Router, session: str, title: str, service_class: str = "paid"
+) -> tuple[RtspConnection, Message | None]:
     """An RTSP set-up on a connection of its own, and its answer."""
-    wire = Wire(socket.create_connection(router.ports["listening"], WAIT_S))
-    ask_for(wire, session, title, kind)
+    wire = RtspConnection(socket.create_connection(router.ports["listening"], TIMEOUT_S))
+    send_titled_set_up(wire, session, title, service_class)
     answer = wire.read()
     made.record.add(
         "viewer", "answer", path=session, at=router.name, status=0 if answer is None else answer.status
--- a/tests/test_acme.py
+++ b/tests/test_acme.py
@@ -20,7 +20,7 @@
 from cloverhinge.acme.renewal import Keeper
 from cloverhinge.core.clock import ManualClock
 from cloverhinge.core.deadlines import Deadlines
-from cloverhinge.lab.harness import ROOT, WAIT_S, site
+from cloverhinge.lab.harness import ROOT, TIMEOUT_S, running_program
 from cloverhinge.operations import console
 from cloverhinge.site import AcmeSite
 from tests.authority import Authority
@@ -40,7 +40,7 @@
     context = ssl.create_default_context()
     context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
     with (
-        socket.create_connection(("127.0.0.1", port), WAIT_S) as link,
+        socket.create_connection(("127.0.0.1", port), TIMEOUT_S) as link,
         context.wrap_socket(link, server_hostname=DOMAIN) as tls,
     ):
         tls.sendall(b"GET /play/none/none HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -58,7 +58,7 @@
     )
     serials = []
     for _ in range(2):
-        with site(tmp_path, 1, deploy=tmp_path / "site.toml") as (program, _, _log):
+        with running_program(tmp_path, 1, site_file=tmp_path / "site.toml") as (program, _, _log):
             admin = int(program.wait_for(r"admin on 127\.0\.0\.1:(\d+)")[1])
             front = int(program.wait_for(r"HLS on 127\.0\.0\.1:(\d+)")[1])
             if not authority.front.done():
@@ -100,7 +100,7 @@
         self.called.release()
 
     def turn(self) -> None:
-        assert self.called.acquire(timeout=WAIT_S)
+        assert self.called.acquire(timeout=TIMEOUT_S)
         function, *arguments = self.calls.pop(0)
         function(*arguments)
 
@@ -181,7 +181,7 @@
 
 def test_the_console_prints_one_view_or_says_why_not(tmp_path: Path) -> None:
     (tmp_path / "site.toml").write_text('[admin]\nlisten = "127.0.0.1:0"\n')
-    with site(tmp_path, 1, deploy=tmp_path / "site.toml") as (program, _, _log):
+    with running_program(tmp_path, 1, site_file=tmp_path / "site.toml") as (program, _, _log):
         port = program.wait_for(r"admin on 127\.0\.0\.1:(\d+)")[1]
         (tmp_path / "console.toml").write_text(f'[admin]\nlisten = "127.0.0.1:{port}"\n')
         command = [
@@ -193,9 +193,9 @@
             "--site",
             str(tmp_path / "console.toml"),
         ]
-        done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=WAIT_S)
+        done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S)
         assert done.returncode == 0 and "s-00000000" in done.stdout and "taken 0" in done.stdout
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=WAIT_S)
+    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S)
     assert done.returncode == 2 and "no router answers" in done.stderr and done.stderr.count("\n") == 1
 
 
--- a/tests/test_admission_network.py
+++ b/tests/test_admission_network.py
@@ -12,7 +12,15 @@
 from typing import Any
 
 from cloverhinge.admission.clients import compute_proof
-from cloverhinge.lab.harness import SETTINGS, WAIT_S, Program, Pump, Wire, answer, site
+from cloverhinge.lab.harness import (
+    SETTINGS,
+    TIMEOUT_S,
+    FakeMediaServer,
+    Program,
+    RtspConnection,
+    read_answer,
+    running_program,
+)
 from tests.test_hls import MediaBox, Player
 
 KEY = "m" * 16
@@ -41,12 +49,16 @@
         f'key = "{KEY}"',
     ]
     (folder / "site.toml").write_text("\n".join(lines))
-    with site(folder, pumps=servers, deploy=folder / "site.toml", specifics=SMALL) as (program, _, _):
+    with running_program(folder, servers=servers, site_file=folder / "site.toml", specifics=SMALL) as (
+        program,
+        _,
+        _,
+    ):
         yield program
 
 
 def setup(
-    connection: Wire, number: int, wait_ms: int = 1000, length_ms: float = 60000.0, **fields: Any
+    connection: RtspConnection, number: int, wait_ms: int = 1000, length_ms: float = 60000.0, **fields: Any
 ) -> str:
     name = f"{number:016x}"
     connection.send(
@@ -63,7 +75,7 @@
 
 def status(port: int) -> dict[str, Any]:
     with (
-        socket.create_connection(("127.0.0.1", port), WAIT_S) as admin_socket,
+        socket.create_connection(("127.0.0.1", port), TIMEOUT_S) as admin_socket,
         admin_socket.makefile("rb") as lines,
     ):
         admin_socket.sendall(b"status\n")
@@ -75,32 +87,32 @@
     """A missing key must not prevent the start; the log says once what it means for tokens."""
     tokens: list[str] = []
     for _ in range(2):
-        with admission_program(tmp_path, [Pump("s-00000000", 0)], key="") as program:
+        with admission_program(tmp_path, [FakeMediaServer("s-00000000", 0)], key="") as program:
             assert (
                 sum("reservation tokens are valid during this run only" in line for line in program.log) == 1
             )
             viewer = program.connect()
             for number in range(1, 4):  # the third finds both places taken
                 setup(viewer, number)
-                reply = answer(viewer)
+                reply = read_answer(viewer)
                 assert reply.status == (200 if number < 3 else 503)
             tokens.append(reply.headers["x-ticket"])
     assert len(set(tokens)) == 2
 
 
 def test_rtsp_viewers_wait_or_get_a_retry_after_estimate(tmp_path: Path) -> None:
-    with admission_program(tmp_path, [Pump("s-00000000", 0)]) as program:
+    with admission_program(tmp_path, [FakeMediaServer("s-00000000", 0)]) as program:
         admin = int(program.wait_for(r"admin on 127\.0\.0\.1:(\d+)")[1])
         connection = program.connect()
         for number in (1, 2):
             setup(connection, number)
-            assert answer(connection).status == 200
+            assert read_answer(connection).status == 200
         forged = setup(connection, 3, X_Client="maple", X_Client_Proof="0" * 64)
-        reply = answer(connection)
+        reply = read_answer(connection)
         assert (reply.status, reply.session) == (403, forged) and "proof" in reply.headers["x-why"]
         proof = compute_proof(KEY.encode(), "maple", f"{4:016x}")
         setup(connection, 4, X_Client="maple", X_Client_Proof=proof)
-        reply = answer(connection)
+        reply = read_answer(connection)
         assert (
             reply.status == 503 and int(reply.headers["x-hold-off"]) == 1000
         ), "cut to the settings' maximum"
@@ -109,28 +121,28 @@
         assert (rows["maple"]["refused"], rows["maple"]["quoted"], rows["others"]["let_in"]) == (1, 1, 2)
         setup(connection, 5, wait_ms=600_000)  # expected to be admitted before its limit, so it waits
         connection.send("OPTIONS rtsp://media/ping RTSP/1.0", f"{5:016x}", 3)
-        assert answer(connection).headers["cseq"] == "3"
+        assert read_answer(connection).headers["cseq"] == "3"
         connection.send("TEARDOWN rtsp://media/x RTSP/1.0", f"{1:016x}", 2)  # frees a place
-        seen = [answer(connection) for _ in range(2)]
+        seen = [read_answer(connection) for _ in range(2)]
         assert sorted(one.headers["cseq"] for one in seen) == ["1", "2"]
         assert all(one.status == 200 for one in seen)
         connection.close()
 
 
 def test_each_waiting_request_is_answered_once_at_sigterm(tmp_path: Path) -> None:
-    with admission_program(tmp_path, [Pump("s-00000000", 0)]) as program:
+    with admission_program(tmp_path, [FakeMediaServer("s-00000000", 0)]) as program:
         connection = program.connect()
         for number in (1, 2):
             setup(connection, number)
-            assert answer(connection).status == 200
+            assert read_answer(connection).status == 200
         names = [setup(connection, number, 900_000) for number in range(3, 8)]
         connection.send("OPTIONS rtsp://media/ping RTSP/1.0", "f" * 16, 3)
-        assert answer(connection).headers["cseq"] == "3", "all requests have been received and wait"
+        assert read_answer(connection).headers["cseq"] == "3", "all requests have been received and wait"
         program.process.send_signal(signal.SIGTERM)
-        replies = [answer(connection) for _ in range(5)]
+        replies = [read_answer(connection) for _ in range(5)]
         assert [one.status for one in replies] == [503] * 5
         assert {one.session for one in replies} == set(names)
-        assert program.process.wait(WAIT_S) == 0
+        assert program.process.wait(TIMEOUT_S) == 0
 
 
 def test_hls_plays_wait_get_an_estimate_and_are_identified_by_proof(tmp_path: Path) -> None:
@@ -156,23 +168,23 @@
     The end of the session that frees the place lies before the client's in the program's sockets.  Admission
     runs in a later turn of the reactor, when the client's end has been read.
     """
-    server = Pump("s-00000000", 0)
+    server = FakeMediaServer("s-00000000", 0)
     with admission_program(tmp_path, [server]) as program:
         established, leaving, later = (program.connect() for _ in range(3))
         for number in (1, 2):
             setup(
                 established, number, length_ms=2000.0
             )  # a place is free soon, so the next request is queued
-            assert answer(established).status == 200
+            assert read_answer(established).status == 200
         left = setup(leaving, 3, wait_ms=5000)
         for _ in range(2):  # the second is read after the set-up has begun
             leaving.send("OPTIONS rtsp://media/ping RTSP/1.0", "00000000000000aa", 3)
-            assert answer(leaving).headers["cseq"] == "3"
+            assert read_answer(leaving).headers["cseq"] == "3"
         program.pause()
-        server.wires[-1].send("TEARDOWN rtsp://media/x RTSP/1.0", f"{1:016x}", 2, Reason="cause=16")
+        server.connections[-1].send("TEARDOWN rtsp://media/x RTSP/1.0", f"{1:016x}", 2, Reason="cause=16")
         leaving.close()
-        program.go_on()
-        assert answer(established, "TEARDOWN").session == f"{1:016x}"
+        program.resume()
+        assert read_answer(established, "TEARDOWN").session == f"{1:016x}"
         setup(later, 4, wait_ms=5000)
-        assert answer(later).status == 200
-        assert left not in server.setups
+        assert read_answer(later).status == 200
+        assert left not in server.set_up_sessions
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -11,76 +11,84 @@
 
 import pytest
 
-from cloverhinge.lab.harness import WAIT_S, Program, Pump, Wire, answer, ask, site
+from cloverhinge.lab.harness import (
+    TIMEOUT_S,
+    FakeMediaServer,
+    Program,
+    RtspConnection,
+    read_answer,
+    running_program,
+    send_set_up,
+)
 
 PING = "OPTIONS rtsp://media/ping RTSP/1.0"
 PING_SESSION = "00000000000000ff"  # of a ping whose answer shows that everything before it has been read
 
 
-def connect_and_warm_up(program: Program, servers: list[Pump]) -> Wire:
+def connect_and_warm_up(program: Program, servers: list[FakeMediaServer]) -> RtspConnection:
     """A client whose set-up has opened a connection to the server: the next attempt is sent at once."""
     client = program.connect()
-    ask(client, 1)
-    assert answer(client).status == 200
-    assert sum(len(server.setups) for server in servers) == 1
+    send_set_up(client, 1)
+    assert read_answer(client).status == 200
+    assert sum(len(server.set_up_sessions) for server in servers) == 1
     return client
 
 
-def read_all(client: Wire) -> None:
+def read_all(client: RtspConnection) -> None:
     """Returns once the program has read what other clients sent before this call."""
     client.send(PING, PING_SESSION, 3)
-    while answer(client).session != PING_SESSION:
+    while read_answer(client).session != PING_SESSION:
         pass
 
 
 @pytest.mark.parametrize("how", ["closes", "resets", "cancels"])
 def test_no_attempt_for_a_client_that_left_before_its_request_was_read(tmp_path: Path, how: str) -> None:
-    with site(tmp_path, 1) as (program, servers, _):
+    with running_program(tmp_path, 1) as (program, servers, _):
         other, leaver = connect_and_warm_up(program, servers), program.connect()
         read_all(leaver)
         program.pause()
-        name = ask(leaver, 2)
+        name = send_set_up(leaver, 2)
         if how == "cancels":
             leaver.send("TEARDOWN rtsp://media/x RTSP/1.0", name, 2)
         else:
             leaver.close(reset=how == "resets")
-        program.go_on()
+        program.resume()
         read_all(other)
-        ask(other, 3)  # would reach the server after an attempt for the client that left
-        assert answer(other).status == 200
-        assert servers[0].setups == [f"{1:016x}", f"{3:016x}"]
+        send_set_up(other, 3)  # would reach the server after an attempt for the client that left
+        assert read_answer(other).status == 200
+        assert servers[0].set_up_sessions == [f"{1:016x}", f"{3:016x}"]
 
 
 def test_no_attempt_for_a_client_that_left_before_its_connection_was_accepted(tmp_path: Path) -> None:
-    with site(tmp_path, 1) as (program, servers, _):
+    with running_program(tmp_path, 1) as (program, servers, _):
         other = connect_and_warm_up(program, servers)
         program.pause()
         leaver = program.connect()
-        ask(leaver, 2)
+        send_set_up(leaver, 2)
         leaver.close()
-        program.go_on()
+        program.resume()
         read_all(other)
-        ask(other, 3)
-        assert answer(other).status == 200
-        assert servers[0].setups == [f"{1:016x}", f"{3:016x}"]
+        send_set_up(other, 3)
+        assert read_answer(other).status == 200
+        assert servers[0].set_up_sessions == [f"{1:016x}", f"{3:016x}"]
 
 
 @pytest.mark.parametrize("how", ["closes", "cancels"])
 def test_no_second_attempt_for_a_client_that_left(tmp_path: Path, how: str) -> None:
     """The program reads the refusal of the first attempt before the client's close or cancellation."""
-    with site(tmp_path, 2) as (program, servers, _):
+    with running_program(tmp_path, 2) as (program, servers, _):
         clients = [program.connect() for _ in range(5)]
         for number, client in enumerate(clients, 1):
-            ask(client, number, title=f"title-{number}")
-            assert answer(client).status == 200
-        assert all(server.setups for server in servers)  # connections to both are open
-        received: queue.Queue[tuple[Pump, Wire]] = queue.Queue()
+            send_set_up(client, number, title=f"title-{number}")
+            assert read_answer(client).status == 200
+        assert all(server.set_up_sessions for server in servers)  # connections to both are open
+        received: queue.Queue[tuple[FakeMediaServer, RtspConnection]] = queue.Queue()
         for server in servers:
-            server.setups.clear()
-            server.script = lambda wire, _, server=server: received.put((server, wire))  # type: ignore[misc]
+            server.set_up_sessions.clear()
+            server.on_set_up = lambda wire, _, server=server: received.put((server, wire))  # type: ignore[misc]
         leaver = program.connect()
-        name = ask(leaver, 9, title="title-1")
-        first_server, wire = received.get(timeout=WAIT_S)
+        name = send_set_up(leaver, 9, title="title-1")
+        first_server, wire = received.get(timeout=TIMEOUT_S)
         other_server = next(server for server in servers if server is not first_server)
         program.pause()
         wire.send("RTSP/1.0 453 No", name)
@@ -88,21 +96,23 @@
             leaver.close()
         else:
             leaver.send("TEARDOWN rtsp://media/x RTSP/1.0", name, 2)
-        program.go_on()
+        program.resume()
         read_all(clients[0])
-        other_server.script = other_server.accept
-        last = ask(clients[0], 10, dest=f"home:{other_server.cell};copies:1;top:1;viewer:00000000b4d65521")
-        assert answer(clients[0]).status == 200
-        assert (first_server.setups, other_server.setups) == ([name], [last])
+        other_server.on_set_up = other_server.accept
+        last = send_set_up(
+            clients[0], 10, dest=f"home:{other_server.cell};copies:1;top:1;viewer:00000000b4d65521"
+        )
+        assert read_answer(clients[0]).status == 200
+        assert (first_server.set_up_sessions, other_server.set_up_sessions) == ([name], [last])
 
 
 def test_a_session_handed_over_and_ended_at_once_is_released_at_its_server(tmp_path: Path) -> None:
     """Its end must not be taken for the cancellation of a request of which no attempt was sent."""
-    with site(tmp_path, 1) as (program, servers, _):
+    with running_program(tmp_path, 1) as (program, servers, _):
         client = program.connect()
         program.pause()
-        name = ask(client, 1, dest="home:0;copies:3;top:1;viewer:aa;at:s-00000000")
+        name = send_set_up(client, 1, dest="home:0;copies:3;top:1;viewer:aa;at:s-00000000")
         client.send("TEARDOWN rtsp://media/x RTSP/1.0", name, 2)
-        program.go_on()
-        assert answer(client).status == 200
+        program.resume()
+        assert read_answer(client).status == 200
         assert servers[0].expect("TEARDOWN")[1].session == name
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -7,12 +7,12 @@
 import sys
 from pathlib import Path
 
-from cloverhinge.lab.harness import ROOT, WAIT_S
+from cloverhinge.lab.harness import ROOT, TIMEOUT_S
 
 
 def test_a_newcomer_s_first_steps() -> None:
     done = subprocess.run(
-        [sys.executable, "example/demo.py"], cwd=ROOT, capture_output=True, text=True, timeout=6 * WAIT_S
+        [sys.executable, "example/demo.py"], cwd=ROOT, capture_output=True, text=True, timeout=6 * TIMEOUT_S
     )
     assert done.returncode == 0, done.stderr
     assert "names 5 segments" in done.stdout and "has 188 bytes" in done.stdout
@@ -26,7 +26,7 @@
             cwd=ROOT,
             text=True,
             capture_output=True,
-            timeout=WAIT_S,
+            timeout=TIMEOUT_S,
         )
 
     assert run("version").stdout.startswith("cloverhinge 0.")
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -9,7 +9,7 @@
 from cloverhinge.core.deadlines import Deadlines
 from cloverhinge.core.model import ClientPort, ServerPort, SetUpRequest
 from cloverhinge.core.router import Router
-from cloverhinge.lab.harness import answer, ask, site
+from cloverhinge.lab.harness import read_answer, running_program, send_set_up
 from cloverhinge.rtsp import messages
 from cloverhinge.rtsp.front import Front
 from cloverhinge.rtsp.intake import QUEUED_BYTES_MOST, QUEUED_MOST, TURN_MS, Intake, Queue, SetUp
@@ -77,13 +77,13 @@
 
 
 def test_a_flood_is_answered_whole(tmp_path: Path) -> None:
-    with site(tmp_path, 1) as (program, _, _log):
+    with running_program(tmp_path, 1) as (program, _, _log):
         flooder, client = program.connect(), program.connect()
         for number in range(1, 3 * FLOOD):
-            ask(flooder, number, title=f"title-{number}")
-        name = ask(client, 3 * FLOOD)
-        assert answer(client).session == name
-        assert {answer(flooder).status for _ in range(1, 3 * FLOOD)} <= {200, 503}
+            send_set_up(flooder, number, title=f"title-{number}")
+        name = send_set_up(client, 3 * FLOOD)
+        assert read_answer(client).session == name
+        assert {read_answer(flooder).status for _ in range(1, 3 * FLOOD)} <= {200, 503}
 
 
 def test_sources_take_turns_and_a_turn_is_bounded() -> None:
--- a/tests/test_hls.py
+++ b/tests/test_hls.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from cloverhinge.lab.harness import WAIT_S, ChangeLog, Program, Pump, site
+from cloverhinge.lab.harness import TIMEOUT_S, FakeChangeLog, FakeMediaServer, Program, running_program
 
 MASTER = (
     "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=800000\n{0}/low.m3u8\n"
@@ -27,7 +27,7 @@
 MEDIA = '#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXT-X-KEY:METHOD=AES-128,URI="k"\n#EXTINF:4,\nseg1.ts\n'
 
 
-class MediaBox(Pump):
+class MediaBox(FakeMediaServer):
     """A pump with the HTTP side of a media box."""
 
     def __init__(self, name: str, cell: int, arrived: queue.Queue[MediaBox]) -> None:
@@ -54,7 +54,7 @@
                 told = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
                 box.puts.append({**told, "id": self.path.split("/")[-1]})
                 box.arrived.put(box)
-                box.go.wait(WAIT_S)
+                box.go.wait(TIMEOUT_S)
                 if box.drop:
                     self.close_connection = True
                     return
@@ -91,7 +91,7 @@
         self.port = int(program.wait_for(r"HLS on 127\.0\.0\.1:(\d+)")[1])
 
     def get(self, path: str, method: str = "GET") -> tuple[int, dict[str, str], str]:
-        link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT_S)
+        link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=TIMEOUT_S)
         link.request(method, path)
         response = link.getresponse()
         text = response.read().decode()
@@ -100,12 +100,12 @@
 
     def walk_away(self, path: str) -> None:
         """Ask, and drop the connection without reading."""
-        link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT_S)
+        link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=TIMEOUT_S)
         link.request("GET", path)
         link.close()
 
 
-Stand = tuple[Program, Player, list[MediaBox], ChangeLog]
+Stand = tuple[Program, Player, list[MediaBox], FakeChangeLog]
 
 
 @contextmanager
@@ -126,7 +126,7 @@
         "copies = 3",
     ]
     (folder / "site.toml").write_text("\n".join(told))
-    with site(folder, pumps=boxes, deploy=folder / "site.toml", **more) as (program, _, log):
+    with running_program(folder, servers=boxes, site_file=folder / "site.toml", **more) as (program, _, log):
         yield program, Player(program), boxes, log
 
 
@@ -159,7 +159,7 @@
         path = "/play/paid/intro?play=attempt-1"
         player.walk_away(path)
         joined = [pool.submit(player.get, path) for _ in range(10)]
-        boxes[0].arrived.get(timeout=WAIT_S)
+        boxes[0].arrived.get(timeout=TIMEOUT_S)
         for box in boxes:
             box.go.set()
         assert {one.result()[0] for one in joined} == {200}
@@ -181,7 +181,7 @@
         assert count(boxes) == 1
         if broken in ("malformed", "large"):  # it stood at the box, for nobody
             taker = next(box for box in boxes if box.puts)
-            assert taker.deleted.get(timeout=WAIT_S) == taker.puts[0]["id"]
+            assert taker.deleted.get(timeout=TIMEOUT_S) == taker.puts[0]["id"]
 
 
 def test_a_set_up_that_is_not_answered_in_time_is_504_and_is_given_up(tmp_path: Path) -> None:
@@ -191,7 +191,7 @@
             box.go.clear()
         assert [player.get("/play/paid/intro?play=attempt-1")[0] for _ in range(2)] == [504, 504]
         taker = next(box for box in boxes if box.puts)
-        assert taker.deleted.get(timeout=WAIT_S) == taker.puts[0]["id"] and count(boxes) == 1
+        assert taker.deleted.get(timeout=TIMEOUT_S) == taker.puts[0]["id"] and count(boxes) == 1
         for box in boxes:
             box.go.set()
 
@@ -243,7 +243,7 @@
         other = boxes[1 - boxes.index(taker)]
         assert taker.origin in player.get(playlist)[2]
         told = time.monotonic()
-        log.tell([taker.row("leaving")])
+        log.publish([taker.list_entry("leaving")])
         asked = told
         while taker.origin in player.get(playlist)[2]:
             assert asked - told < 0.25, "a manifest asked for so late still names the box"
@@ -255,7 +255,7 @@
             assert ("#EXT-X-ENDLIST" in text) is (class_name == "paid")
         assert player.get(path)[0] == 200
         assert count(boxes) == (2 if class_name == "free" else 1)
-        assert taker.deleted.get(timeout=WAIT_S) == taker.puts[0]["id"]
+        assert taker.deleted.get(timeout=TIMEOUT_S) == taker.puts[0]["id"]
 
 
 def test_a_drain_while_a_manifest_is_fetched_keeps_the_box_out_of_it(tmp_path: Path) -> None:
@@ -263,8 +263,8 @@
         for box in boxes:
             box.go.clear()
         answer = pool.submit(player.get, "/play/paid/intro?play=attempt-1")
-        taker = boxes[0].arrived.get(timeout=WAIT_S)
-        log.tell([taker.row("leaving")])
+        taker = boxes[0].arrived.get(timeout=TIMEOUT_S)
+        log.publish([taker.list_entry("leaving")])
         program.wait_for("changed")
         taker.go.set()
         status, _, text = answer.result()
@@ -276,17 +276,17 @@
     with hls_site(tmp_path, idle_s=0.3) as (_, player, boxes, _log):
         playlist = re.findall(r"^/session/\S+", player.get("/play/free/intro?play=attempt-1")[2], re.M)[0]
         taker = next(box for box in boxes if box.puts)
-        assert taker.deleted.get(timeout=WAIT_S) == taker.puts[0]["id"]
+        assert taker.deleted.get(timeout=TIMEOUT_S) == taker.puts[0]["id"]
         assert player.get(playlist)[0] == 410
 
 
 def test_a_player_that_says_nothing_or_trickles_is_cut_and_one_that_rests_is_not(tmp_path: Path) -> None:
     """Guards the connections: bytes that complete no request renew nothing."""
     with hls_site(tmp_path) as (_, player, _boxes, _log):
-        resting = http.client.HTTPConnection("127.0.0.1", player.port, timeout=WAIT_S)
+        resting = http.client.HTTPConnection("127.0.0.1", player.port, timeout=TIMEOUT_S)
         resting.request("GET", "/nothing")
         assert resting.getresponse().read()
-        silent, slow = (socket.create_connection(("127.0.0.1", player.port), WAIT_S) for _ in range(2))
+        silent, slow = (socket.create_connection(("127.0.0.1", player.port), TIMEOUT_S) for _ in range(2))
         ended = threading.Event()
 
         def trickle() -> None:
@@ -312,14 +312,14 @@
         for box in boxes:
             box.status = 503
             box.go.clear()
-        link = http.client.HTTPConnection("127.0.0.1", player.port, timeout=WAIT_S)
+        link = http.client.HTTPConnection("127.0.0.1", player.port, timeout=TIMEOUT_S)
         link.request("GET", f"/play/{class_name}/intro?play=attempt-1")
-        boxes[0].arrived.get(timeout=WAIT_S)
+        boxes[0].arrived.get(timeout=TIMEOUT_S)
         program.pause()
         for box in boxes:
             box.go.set()
         link.close()
-        program.go_on()
+        program.resume()
         assert player.get(f"/play/{class_name}/other?play=attempt-2")[0] == 503
         assert [put["title"] for box in boxes for put in box.puts].count("intro") == 1
         # Nothing of it ran, so it may be tried again; its boxes said that they are full, so it is refused.
--- a/tests/test_lab_hub.py
+++ b/tests/test_lab_hub.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cloverhinge.lab.harness import WAIT_S, Pump, Wire, answer, ask
+from cloverhinge.lab.harness import TIMEOUT_S, FakeMediaServer, RtspConnection, read_answer, send_set_up
 from cloverhinge.lab.hub import Hub
 from cloverhinge.lab.record import Record
 
@@ -19,17 +19,17 @@
     """A process of the test's own behind the hub: a datagram socket and a listener at one port."""
 
     def __init__(self, hub: Hub, name: str, host: str) -> None:
-        self.told = hub.place(name, host.replace("127.91", "127.92"), host)
+        self.told = hub.add_router(name, host.replace("127.91", "127.92"), host)
         self.datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.datagrams.bind((host, 0))
-        self.datagrams.settimeout(WAIT_S)
+        self.datagrams.settimeout(TIMEOUT_S)
         self.host, port = self.datagrams.getsockname()
         self.listener = socket.create_server((host, port))
-        self.listener.settimeout(WAIT_S)
+        self.listener.settimeout(TIMEOUT_S)
         hub.attach(name, (host, port))
 
     def connect(self, other: End) -> socket.socket:
-        return socket.create_connection(other.told, WAIT_S, (self.host, 0))
+        return socket.create_connection(other.told, TIMEOUT_S, (self.host, 0))
 
     def close(self) -> None:
         self.datagrams.close()
@@ -80,7 +80,7 @@
 
 def test_datagrams_are_doubled_and_come_out_of_order(pair: tuple[Hub, End, End]) -> None:
     hub, a, b = pair
-    hub.every(twice=1.0, late=0.5, late_ms=50.0)
+    hub.change_default(twice=1.0, late=0.5, late_ms=50.0)
     for n in range(20):
         a.datagrams.sendto(bytes([n]), b.told)
     got = [b.datagrams.recv(100)[0] for _ in range(40)]
@@ -116,19 +116,19 @@
 
 
 def test_a_box_has_a_gate_of_its_own_for_each_router() -> None:
-    hub, pump = Hub(Record()), Pump("box", 0)
+    hub, pump = Hub(Record()), FakeMediaServer("box", 0)
     host, port = pump.address.rsplit(":", 1)
     try:
-        one, other = (hub.gate(name, "box", "127.92.1.1", (host, int(port))) for name in "ab")
+        one, other = (hub.add_server_proxy(name, "box", "127.92.1.1", (host, int(port))) for name in "ab")
         hub.cut(["b"], ["box"])
-        wire = Wire(socket.create_connection(one, WAIT_S))
-        session = ask(wire, 1)
-        assert answer(wire).session == session
-        cut = Wire(socket.create_connection(other, WAIT_S))
-        ask(cut, 2)
-        assert pump.expect("SETUP")[1].session == session and pump.setups == [session]
+        wire = RtspConnection(socket.create_connection(one, TIMEOUT_S))
+        session = send_set_up(wire, 1)
+        assert read_answer(wire).session == session
+        cut = RtspConnection(socket.create_connection(other, TIMEOUT_S))
+        send_set_up(cut, 2)
+        assert pump.expect("SETUP")[1].session == session and pump.set_up_sessions == [session]
         hub.heal()
-        assert answer(cut).status == 200
+        assert read_answer(cut).status == 200
         for each in (wire, cut):
             each.close()
     finally:
--- a/tests/test_lab_ownership.py
+++ b/tests/test_lab_ownership.py
@@ -12,34 +12,34 @@
 from typing import Any
 
 from cloverhinge.lab import viewers
-from cloverhinge.lab.harness import SETTINGS, WAIT_S, Message, Pump, Wire
-from cloverhinge.lab.media import set_ups
-from cloverhinge.lab.rig import Rig, rig
-from cloverhinge.lab.viewers import SOON_S, final, play, set_up, until_rostered
+from cloverhinge.lab.harness import SETTINGS, TIMEOUT_S, FakeMediaServer, Message, RtspConnection
+from cloverhinge.lab.media import set_ups_by_title
+from cloverhinge.lab.rig import Rig, running_rig
+from cloverhinge.lab.viewers import BUSY_TIMEOUT_S, fetch_manifest, final_answer, set_up, wait_replica_set
 from cloverhinge.operations import console
 from tests import guards
 
 
 def status(made: Rig, number: int) -> dict[str, Any]:
-    return viewers.custody_of(made[number])
+    return viewers.ownership_status(made[number])
 
 
 @contextmanager
 def keeping(folder: Path, count: int = 5, titles: int = 20) -> Iterator[Rig]:
-    with viewers.keeping(folder, count, titles, idle_s=120.0, program=guards.program()) as made:
+    with viewers.replicating_rig(folder, count, titles, idle_s=120.0, program=guards.program()) as made:
         yield made
-        twice = {title: n for title, n in set_ups(made.record).items() if n > 1}
+        twice = {title: n for title, n in set_ups_by_title(made.record).items() if n > 1}
         assert not twice, (twice, made.record.tail())
 
 
 def test_a_paid_play_goes_on_at_another_router_when_its_own_is_killed(tmp_path: Path) -> None:
     with keeping(tmp_path) as made:
-        first = play(made, made[1], 0)
+        first = fetch_manifest(made, made[1], 0)
         assert first[0] == 200, (first, made.record.tail())
-        assert play(made, made[1], 1, "free")[0] == 200
+        assert fetch_manifest(made, made[1], 1, "free")[0] == 200
         made[1].kill()
         for number, kind in ((0, "paid"), (1, "free")):
-            code, text = play(made, made[3], number, kind)
+            code, text = fetch_manifest(made, made[3], number, kind)
             assert code == 200 and "/session/" in text, (code, text, made.record.tail())
         until_told(made, "both are its own", lambda: status(made, 3)["owned"] >= 2)
 
@@ -51,23 +51,25 @@
 
 
 def until(made: Rig, what: str, holds: Callable[[], bool]) -> None:
-    made.record.until(holds, SOON_S, what)
+    made.record.wait_until(holds, BUSY_TIMEOUT_S, what)
 
 
 def until_noted(made: Rig, what: str, title: str) -> None:
     """By a box: a session of that title was asked for, stands or was released there."""
-    until(made, f"{title} {what}", lambda: any(x.told["title"] == title for x in made.record.of(what)))
+    until(
+        made, f"{title} {what}", lambda: any(x.details["title"] == title for x in made.record.events_of(what))
+    )
 
 
 @contextmanager
-def held_up(made: Rig, gate: str = "before", noted: str = "asked") -> Iterator[threading.Thread]:
+def held_up(made: Rig, gate: str = "may_set_up", noted: str = "asked") -> Iterator[threading.Thread]:
     """A paid fetch of `t0` at r1 whose set-up the boxes hold up, in the block, once that has been noted."""
-    for box in made.boxes:
+    for box in made.recording_servers:
         getattr(box, gate).clear()
-    first = later(lambda: play(made, made[1], 0))
+    first = later(lambda: fetch_manifest(made, made[1], 0))
     until_noted(made, noted, "t0")
     yield first
-    for box in made.boxes:
+    for box in made.recording_servers:
         getattr(box, gate).set()
 
 
@@ -75,31 +77,31 @@
     with keeping(tmp_path) as made:
         with held_up(made) as first:
             made[1].kill()
-            first.join(SOON_S)
-        assert final(made, made[2], 0)[0] == 502
-        assert final(made, made[4], 0)[0] == 502
+            first.join(BUSY_TIMEOUT_S)
+        assert final_answer(made, made[2], 0)[0] == 502
+        assert final_answer(made, made[4], 0)[0] == 502
         until_noted(made, "released", "t0")
 
 
 def test_killed_once_the_box_has_it_before_the_viewer_is_told(tmp_path: Path) -> None:
     with keeping(tmp_path) as made:
-        with held_up(made, "after", "stands") as first:
+        with held_up(made, "may_answer", "stands") as first:
             made[1].kill()
-            first.join(SOON_S)
-        assert final(made, made[2], 0)[0] == 502
+            first.join(BUSY_TIMEOUT_S)
+        assert final_answer(made, made[2], 0)[0] == 502
         until_noted(made, "released", "t0")
 
 
 def test_owner_and_one_keeper_killed_and_owner_and_all_keepers(tmp_path: Path) -> None:
     with keeping(tmp_path, 7) as made:
-        assert play(made, made[0], 0)[0] == 200
+        assert fetch_manifest(made, made[0], 0)[0] == 200
         told = custody_of(made, 0, 0)
         keeper = next(x for x in told["keepers"] if x != "r0")
         made[0].kill()
         made[int(keeper[1:])].kill()
         alive = [x for x in made.routers if x.running]
-        assert final(made, alive[0], 0)[0] == 200
-        until_rostered(made)
+        assert final_answer(made, alive[0], 0)[0] == 200
+        wait_replica_set(made)
         owner = alive[0]
         told = custody_of(made, owner.number, 0)
         gone = {owner.name, *told["keepers"]}
@@ -111,10 +113,10 @@
             if not router.running:
                 router.start()
         for router in made.routers:
-            router.until_started()
+            router.wait_started()
         # Nobody remembers it: what may have run is never set up again.
-        assert final(made, left[0], 0)[0] == 502
-        assert final(made, made[0], 0)[0] == 502
+        assert final_answer(made, left[0], 0)[0] == 502
+        assert final_answer(made, made[0], 0)[0] == 502
 
 
 def custody_of(made: Rig, number: int, play_number: int) -> dict[str, Any]:
@@ -124,15 +126,15 @@
 
 def test_the_owner_that_was_paused_gives_up_what_it_lost(tmp_path: Path) -> None:
     with keeping(tmp_path) as made:
-        assert play(made, made[1], 0)[0] == 200
+        assert fetch_manifest(made, made[1], 0)[0] == 200
         made[1].pause()
-        assert final(made, made[2], 0)[0] == 200
-        made[1].wake()
+        assert final_answer(made, made[2], 0)[0] == 200
+        made[1].resume()
         until(made, "it has given the play up", lambda: status(made, 1)["fenced"] >= 1)
-        assert play(made, made[2], 0)[0] == 200
-        assert not any(made.record.of("released"))
-        assert final(made, made[1], 0)[0] == 200  # handed back by the other's word
-        assert status(made, 2)["handed_over"] == 1 and not any(made.record.of("released"))
+        assert fetch_manifest(made, made[2], 0)[0] == 200
+        assert not any(made.record.events_of("released"))
+        assert final_answer(made, made[1], 0)[0] == 200  # handed back by the other's word
+        assert status(made, 2)["handed_over"] == 1 and not any(made.record.events_of("released"))
 
 
 def test_a_set_up_about_to_leave_does_not_after_a_pause(tmp_path: Path) -> None:
@@ -140,11 +142,11 @@
     with keeping(tmp_path) as made:
         with held_up(made) as first:
             made[1].pause()
-        code = final(made, made[2], 0)[0]
+        code = final_answer(made, made[2], 0)[0]
         assert code == 502
-        made[1].wake()
-        first.join(SOON_S)
-        answers = [x.told["status"] for x in made.record.of("answer") if x.told["at"] == "r1"]
+        made[1].resume()
+        first.join(BUSY_TIMEOUT_S)
+        answers = [x.details["status"] for x in made.record.events_of("answer") if x.details["at"] == "r1"]
         assert answers and 200 not in answers
         until_noted(made, "released", "t0")
 
@@ -155,26 +157,26 @@
         def both(number: int) -> None:
             with ThreadPoolExecutor(2) as pool:
                 at = made[number % 5], made[(number + 2) % 5]
-                codes = list(pool.map(lambda router: final(made, router, number)[0], at))
+                codes = list(pool.map(lambda router: final_answer(made, router, number)[0], at))
             assert codes == [200, 200], (number, codes)
 
         for number in range(60):
             both(number)
-        assert set_ups(made.record) == {f"t{n}": 1 for n in range(60)}
+        assert set_ups_by_title(made.record) == {f"t{n}": 1 for n in range(60)}
 
 
 def test_a_rolling_restart_of_all_ends_no_session(tmp_path: Path) -> None:
     with keeping(tmp_path) as made:
         for number in range(10):
-            assert play(made, made[number % 5], number)[0] == 200
+            assert fetch_manifest(made, made[number % 5], number)[0] == 200
         for router in made.routers:
             assert router.terminate() == 0
             router.start()
-            router.until_started()
-            until_rostered(made)
+            router.wait_started()
+            wait_replica_set(made)
         for number in range(10):
-            assert final(made, made[(number + 3) % 5], number)[0] == 200
-        assert not any(made.record.of("released")), made.record.tail()
+            assert final_answer(made, made[(number + 3) % 5], number)[0] == 200
+        assert not any(made.record.events_of("released")), made.record.tail()
         assert sum(status(made, x)["owned"] for x in range(5)) == 10
 
 
@@ -183,7 +185,7 @@
 
 
 def until_told(made: Rig, what: str, holds: Callable[[], bool]) -> None:
-    made.poll(what, holds, SOON_S)
+    made.poll(what, holds, BUSY_TIMEOUT_S)
 
 
 def test_sessions_over_rtsp_go_on_without_their_viewers_and_end_where_they_went(tmp_path: Path) -> None:
@@ -201,11 +203,11 @@
         assert answer is not None and answer.status == 200, (answer and answer.start, made.record.tail())
         assert answer.body.startswith(b"made by ")
         assert owners(made) == 3
-        for box in made.boxes:
+        for box in made.recording_servers:
             for session in list(box.sessions):
-                box.end(session)
+                box.end_session(session)
         until_told(made, "their ends are heard", lambda: owners(made) == 0)
-        assert not any(made.record.of("released"))
+        assert not any(made.record.events_of("released"))
 
 
 def test_a_viewer_s_end_that_waited_in_a_paused_router_ends_no_successor_s_session(tmp_path: Path) -> None:
@@ -216,52 +218,55 @@
         wire.send("TEARDOWN rtsp://media/t0 RTSP/1.0", f"{9:016x}", 2)
         others = [x for x in made.routers if x is not made[1]]
         until_told(made, "another has it", lambda: sum(status(made, x.number)["owned"] for x in others) == 1)
-        made[1].wake()
-        until(made, "it was away", lambda: bool(made[1].said("away for")))
+        made[1].resume()
+        until(made, "it was away", lambda: bool(made[1].log_events("away for")))
         until_told(made, "it gives it up", lambda: status(made, 1)["owned"] == 0)
         later_kill(made, 1)
-        assert not any(made.record.of("released")), made.record.tail()
+        assert not any(made.record.events_of("released")), made.record.tail()
 
 
 def later_kill(made: Rig, number: int) -> None:
     """What was to come of it before has come by the time that the others hold a roster without it."""
     made[number].kill()
-    until_rostered(made)
+    wait_replica_set(made)
 
 
 def test_an_owner_that_is_heard_by_nobody_but_viewers_and_boxes(tmp_path: Path) -> None:
     with keeping(tmp_path) as made:
-        assert play(made, made[1], 0)[0] == 200
+        assert fetch_manifest(made, made[1], 0)[0] == 200
         others = [x.name for x in made.routers if x is not made[1]]
         made.hub.cut(["r1"], others, both=False)
-        assert play(made, made[1], 0)[0] == 200  # its viewers are served on
-        assert final(made, made[2], 0)[0] == 200
-        refused = play(made, made[1], 1)[0]
+        assert fetch_manifest(made, made[1], 0)[0] == 200  # its viewers are served on
+        assert final_answer(made, made[2], 0)[0] == 200
+        refused = fetch_manifest(made, made[1], 1)[0]
         assert refused == 503, refused  # a new one can't be kept
         made.hub.heal()
         until_told(made, "it gives up what it lost", lambda: status(made, 1)["owned"] == 0)
-        until_rostered(made)
-        assert final(made, made[1], 0)[0] == 200 and final(made, made[1], 1)[0] == 200
-        assert not any(made.record.of("released"))
+        wait_replica_set(made)
+        assert final_answer(made, made[1], 0)[0] == 200 and final_answer(made, made[1], 1)[0] == 200
+        assert not any(made.record.events_of("released"))
 
 
 def test_a_split_with_viewers_on_both_sides(tmp_path: Path) -> None:
     with keeping(tmp_path) as made:
         for number in range(8):
-            assert play(made, made[number % 5], number)[0] == 200
+            assert fetch_manifest(made, made[number % 5], number)[0] == 200
         made.hub.cut(["r0", "r1"], ["r2", "r3", "r4"])
-        made.until_agreed(made.routers[2:], SOON_S)
+        made.wait_agreed(made.routers[2:], BUSY_TIMEOUT_S)
         for number in range(8):
-            assert play(made, made[number % 5], number)[0] in (200, 503, 502)
-            assert final(made, made[2 + number % 3], number)[0] in (200, 502)  # unknown where both kept it
-        assert play(made, made[0], 10)[0] == 503
-        served = [x for x in range(10, 16) if final(made, made[3], x)[0] == 200]
+            assert fetch_manifest(made, made[number % 5], number)[0] in (200, 503, 502)
+            assert final_answer(made, made[2 + number % 3], number)[0] in (
+                200,
+                502,
+            )  # unknown where both kept it
+        assert fetch_manifest(made, made[0], 10)[0] == 503
+        served = [x for x in range(10, 16) if final_answer(made, made[3], x)[0] == 200]
         assert served
         made.hub.heal()
-        until_rostered(made)
-        standing = sum(len(x.sessions) for x in made.boxes)
+        wait_replica_set(made)
+        standing = sum(len(x.sessions) for x in made.recording_servers)
         until_told(made, "one owner each", lambda: owners(made) <= standing)
-        assert final(made, made[0], served[0])[0] == 200
+        assert final_answer(made, made[0], served[0])[0] == 200
 
 
 def test_a_keeper_that_restarts_empty_before_the_owner_is_lost(tmp_path: Path) -> None:
@@ -270,43 +275,47 @@
             keeper = next(int(x[1:]) for x in custody_of(made, 1, 0)["keepers"] if x != "r1")
             made[keeper].kill()
             made[keeper].start()
-            made[keeper].until_started()
+            made[keeper].wait_started()
             made[1].kill()
-            first.join(SOON_S)
+            first.join(BUSY_TIMEOUT_S)
         there = next(x for x in made.routers if x.running)
-        assert final(made, there, 0)[0] == 502
+        assert final_answer(made, there, 0)[0] == 502
 
 
 def test_a_box_that_drains_while_its_session_is_taken_over(tmp_path: Path) -> None:
     with keeping(tmp_path) as made:
-        assert play(made, made[1], 0)[0] == 200
-        assert play(made, made[1], 1, "free")[0] == 200
-        drained = [x for x in made.boxes if x.sessions]
+        assert fetch_manifest(made, made[1], 0)[0] == 200
+        assert fetch_manifest(made, made[1], 1, "free")[0] == 200
+        drained = [x for x in made.recording_servers if x.sessions]
         made[1].kill()
-        made.tell({box.name: "leaving" for box in drained})
+        made.publish({box.name: "leaving" for box in drained})
         at = made.record.now()
-        assert final(made, made[3], 0)[0] == 410  # a paid one ends with its box
-        assert final(made, made[3], 1, "free")[0] == 200  # a repeatable one is set up elsewhere
-        late = [x for x in made.record.of("asked", since_ms=at + 250.0) if x.who in {y.name for y in drained}]
+        assert final_answer(made, made[3], 0)[0] == 410  # a paid one ends with its box
+        assert final_answer(made, made[3], 1, "free")[0] == 200  # a repeatable one is set up elsewhere
+        late = [
+            x
+            for x in made.record.events_of("asked", since_ms=at + 250.0)
+            if x.source in {y.name for y in drained}
+        ]
         assert not late, late
 
 
 def test_a_promise_of_one_router_is_honoured_by_another_and_claimed_once(tmp_path: Path) -> None:
     small = {**SETTINGS["specifics"], "placesByKind": [2], "cells": 1}
     tables = f'[door]\nkey = "{"d" * 32}"\nquote_most_s = 600\n[custody]\nrouters = 3\n'
-    with rig(
+    with running_rig(
         tmp_path,
         3,
-        pumps=[Pump("s-00000000", 0)],
-        tables=tables,
+        servers=[FakeMediaServer("s-00000000", 0)],
+        site_tables=tables,
         program=guards.program(),
-        gated=False,
+        uses_server_proxies=False,
         specifics=small,
     ) as made:
-        until_rostered(made)
+        wait_replica_set(made)
 
         def ask(at: int, session: int, ticket: str = "") -> Message:
-            wire = Wire(socket.create_connection(made[at].ports["listening"], WAIT_S))
+            wire = RtspConnection(socket.create_connection(made[at].ports["listening"], TIMEOUT_S))
             more: dict[str, Any] = {"X_Ticket": ticket} if ticket else {}
             wire.send(
                 "SETUP rtsp://media/7f3a RTSP/1.0",
@@ -337,19 +346,19 @@
 def test_killed_before_its_intent_is_kept_a_paid_set_up_is_a_new_one_elsewhere(tmp_path: Path) -> None:
     with keeping(tmp_path) as made:
         made.hub.cut(["r1"], [x.name for x in made.routers if x is not made[1]])
-        first = later(lambda: play(made, made[1], 0))
-        until(made, "it was asked for", lambda: bool(made.record.of("fault")))
+        first = later(lambda: fetch_manifest(made, made[1], 0))
+        until(made, "it was asked for", lambda: bool(made.record.events_of("fault")))
         made[1].kill()
-        first.join(SOON_S)
+        first.join(BUSY_TIMEOUT_S)
         made.hub.heal()
-        assert final(made, made[2], 0)[0] == 200
-        assert set_ups(made.record) == {"t0": 1}
+        assert final_answer(made, made[2], 0)[0] == 200
+        assert set_ups_by_title(made.record) == {"t0": 1}
 
 
 def test_killed_with_its_set_up_on_the_way_to_the_box(tmp_path: Path) -> None:
     """Between the intent and the box: what left is lost, and nobody else sends it."""
     with keeping(tmp_path) as made:
-        made.hub.cut(["r1"], [x.name for x in made.boxes])
+        made.hub.cut(["r1"], [x.name for x in made.recording_servers])
         session = f"{7:016x}"
         first = later(lambda: set_up(made, made[1], session, "t0"))
         until_told(
@@ -362,12 +371,12 @@
             ),
         )
         made[1].kill()
-        first.join(SOON_S)
-        deadline = time.monotonic() + SOON_S
+        first.join(BUSY_TIMEOUT_S)
+        deadline = time.monotonic() + BUSY_TIMEOUT_S
         while True:  # until its owner's lease is over
             wire, answer = set_up(made, made[2], session, "t0")
             wire.close()
             assert answer is not None and time.monotonic() < deadline
             if answer.status != 503:
                 break
-        assert answer.status in (500, 502, 504) and not set_ups(made.record)
+        assert answer.status in (500, 502, 504) and not set_ups_by_title(made.record)
--- a/tests/test_lab_store.py
+++ b/tests/test_lab_store.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from cloverhinge.lab import viewers
-from cloverhinge.lab.media import set_ups
+from cloverhinge.lab.media import set_ups_by_title
 from cloverhinge.lab.rig import Rig, Router
-from cloverhinge.lab.viewers import SOON_S, final, until_rostered
+from cloverhinge.lab.viewers import BUSY_TIMEOUT_S, final_answer, wait_replica_set
 from tests import guards
 
 
@@ -23,14 +23,16 @@
 @contextmanager
 def storing(path: Path, count: int = 5, titles: int = 20) -> Iterator[Rig]:
     """No paid play may be set up twice, whatever a test does."""
-    with viewers.keeping(path, count, titles, idle_s=120.0, program=guards.program(), stores=True) as made:
+    with viewers.replicating_rig(
+        path, count, titles, idle_s=120.0, program=guards.program(), stores=True
+    ) as made:
         yield made
-        twice = {title: n for title, n in set_ups(made.record).items() if n > 1}
+        twice = {title: n for title, n in set_ups_by_title(made.record).items() if n > 1}
         assert not twice, (twice, made.record.tail(100))
 
 
 def store_of(router: Router) -> dict[str, Any]:
-    told: dict[str, Any] = viewers.custody_of(router)["store"]
+    told: dict[str, Any] = viewers.ownership_status(router)["store"]
     return told
 
 
@@ -38,13 +40,13 @@
     for router in routers:
         router.start()
     for router in routers:
-        router.until_started()
-    until_rostered(made)
+        router.wait_started()
+    wait_replica_set(made)
 
 
 def told(made: Rig, plays: range) -> None:
     for number in plays:
-        code, text = final(made, made[number % len(made.routers)], number)
+        code, text = final_answer(made, made[number % len(made.routers)], number)
         assert code == 200, (code, text, made.record.tail(150))
 
 
@@ -56,7 +58,7 @@
         begin(made, made.routers)
         assert all(store_of(x)["state"] == "whole" for x in made.routers)
         for number in range(20):
-            code, text = final(made, made[(number + 2) % 5], number)
+            code, text = final_answer(made, made[(number + 2) % 5], number)
             assert code == 200, (number, code, text, made.record.tail(100))
 
 
@@ -68,12 +70,12 @@
         for router in made.routers:
             router.start()
         for router in made.routers[:3]:
-            router.until_started()
+            router.wait_started()
         for router in made.routers[:3]:
             router.kill()
         begin(made, made.routers[:3])
         for number in range(10):
-            code, text = final(made, made[number % 5], number)
+            code, text = final_answer(made, made[number % 5], number)
             assert code == 200, (number, code, text, made.record.tail(100))
 
 
@@ -84,7 +86,9 @@
         shutil.copytree(folder(made[1]), tmp_path / "old")
         begin(made, [made[1]])
         told(made, range(7, 14))
-        made.poll("marks are told", lambda: all(store_of(x)["waiting"] == 0 for x in made.routers), SOON_S)
+        made.poll(
+            "marks are told", lambda: all(store_of(x)["waiting"] == 0 for x in made.routers), BUSY_TIMEOUT_S
+        )
         for router in made.routers:
             router.kill()
         shutil.rmtree(folder(made[0]))
@@ -95,21 +99,23 @@
         for router in made.routers:
             router.start()
         for router in made.routers:
-            router.until_started()
+            router.wait_started()
         keeping = [x for x in made.routers if x is not made[2]]
-        made.record.until(lambda: all(votes(made, x) for x in keeping), SOON_S, "all others vote")
+        made.record.wait_until(
+            lambda: all(votes(made, x) for x in keeping), BUSY_TIMEOUT_S, "all others vote"
+        )
         states = [store_of(x)["state"] for x in made.routers]
         assert states == ["forgot", "forgot", "out", "whole", "whole", "whole", "whole"], states
-        assert made[1].said("is behind what") and made[2].said("belongs to r3, not to r2")
+        assert made[1].log_events("is behind what") and made[2].log_events("belongs to r3, not to r2")
         for number in range(14):
-            final(made, made[3], number)  # answered, and nothing set up twice
-        assert final(made, made[2], 15, "free")[0] == 200  # a paid one may be unknown for a while
+            final_answer(made, made[3], number)  # answered, and nothing set up twice
+        assert final_answer(made, made[2], 15, "free")[0] == 200  # a paid one may be unknown for a while
 
 
 def votes(made: Rig, router: Router) -> bool:
     return any(
-        re.search(r"custody: votes in roster", x.told["line"])
-        for x in made.record.of("log", router.name, router.begun_ms)
+        re.search(r"custody: votes in roster", x.details["line"])
+        for x in made.record.events_of("log", router.name, router.started_ms)
     )
 
 
@@ -118,8 +124,10 @@
         told(made, range(5))
         shutil.rmtree(folder(made[1]))
         told(made, range(5, 10))  # some of these are kept there, and find it out
-        made.record.until(lambda: bool(made[1].said("keeps nothing for others")), SOON_S, "r1 is out")
+        made.record.wait_until(
+            lambda: bool(made[1].log_events("keeps nothing for others")), BUSY_TIMEOUT_S, "r1 is out"
+        )
         assert store_of(made[1])["state"] == "out"
         for number in range(10, 15):
-            code, text = final(made, made[number % 5], number)
+            code, text = final_answer(made, made[number % 5], number)
             assert code == 200, (code, text, made.record.tail(100))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverhinge.emulator.network import Way
+from cloverhinge.emulator.network import LinkConditions
 from cloverhinge.emulator.routers import Router, World
 from cloverhinge.members import core, wire
 from cloverhinge.members.table import MAX_RECORDS, MemberTable
@@ -21,15 +21,15 @@
 OUT_MS = 7000.0  # after which a silent member has been removed everywhere
 
 
-def begun(count: int, seed: int = 1, sites: int = 1, way: Way | None = None) -> World:
+def begun(count: int, seed: int = 1, sites: int = 1, way: LinkConditions | None = None) -> World:
     world = World(count, seed, sites)
     if way is not None:
-        world.net.usual = way
+        world.net.default_conditions = way
     for router in world.routers:
         router.start()
-    world.until_agreed(10_000.0)
+    world.run_until_agreed(10_000.0)
     world.net.run(5000.0)
-    world.seen.clear()
+    world.changes.clear()
     return world
 
 
@@ -41,8 +41,8 @@
 def test_a_killed_member_is_out_everywhere_within_two_seconds(count: int) -> None:
     world = begun(count)
     world.routers[1].kill()
-    assert world.until_agreed(ALL_KNOW_MS) <= ALL_KNOW_MS
-    assert {x.what.name for x in world.told("dead")} == {"r001"}
+    assert world.run_until_agreed(ALL_KNOW_MS) <= ALL_KNOW_MS
+    assert {x.change.name for x in world.changes_of("dead")} == {"r001"}
 
 
 @pytest.mark.parametrize("count", [2, 3, 5, 16])
@@ -51,20 +51,24 @@
     paused = world.routers[0]
     world.net.pause(paused.process)
     world.net.run(BOUND_MS - 100.0)
-    world.net.wake(paused.process)
+    world.net.resume(paused.process)
     world.net.run(5000.0)
-    assert not world.told("dead") and world.agreed() and len(paused.away) == 1
+    assert not world.changes_of("dead") and world.agreed() and len(paused.pauses_ms) == 1
     world.net.pause(paused.process)
     world.net.run(OUT_MS)
     others = world.routers[1:]
     assert world.agreed(others)
-    world.net.wake(paused.process)
-    world.until_agreed(HEALED_MS)
+    world.net.resume(paused.process)
+    world.run_until_agreed(HEALED_MS)
     world.net.run(5000.0)
     assert world.agreed()
-    assert sorted((x.by, x.what.name) for x in world.told("dead")) == [(x.name, paused.name) for x in others]
-    assert all(len([x for x in world.told("returned") if x.by == y.name]) == 1 for y in world.routers)
-    assert len(paused.voided) == 1 and len(paused.away) == 2
+    assert sorted((x.observer, x.change.name) for x in world.changes_of("dead")) == [
+        (x.name, paused.name) for x in others
+    ]
+    assert all(
+        len([x for x in world.changes_of("returned") if x.observer == y.name]) == 1 for y in world.routers
+    )
+    assert len(paused.voided) == 1 and len(paused.pauses_ms) == 2
 
 
 def test_all_paused_at_once_accuse_nobody() -> None:
@@ -76,27 +80,27 @@
         world.net.pause(router.process)
     world.net.run(20_000.0)
     for n, router in enumerate(world.routers):
-        world.net.at(n * 150.0, partial(world.net.wake, router.process))
+        world.net.schedule(n * 150.0, partial(world.net.resume, router.process))
     world.net.run(8000.0)
-    assert world.agreed() and not world.told("dead")
+    assert world.agreed() and not world.changes_of("dead")
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_third_of_the_messages_lost_doubled_and_late_removes_nobody(seed: int) -> None:
     world = begun(8, seed)
-    world.net.usual = Way(loss=0.3, twice=0.2, late=0.2, jitter_ms=30.0)
+    world.net.default_conditions = LinkConditions(loss=0.3, twice=0.2, late=0.2, jitter_ms=30.0)
     world.net.run(60_000.0)
-    assert not world.told("dead") and not world.told("returned")
+    assert not world.changes_of("dead") and not world.changes_of("returned")
     world.routers[3].kill()
-    world.until_agreed(2 * ALL_KNOW_MS)
+    world.run_until_agreed(2 * ALL_KNOW_MS)
 
 
 def test_a_restart_under_the_same_name_is_a_higher_incarnation_and_old_words_are_void() -> None:
     world = begun(5)
     late: list[bytes] = []
-    world.routers[2].carry = lambda to, body, reliable=False: late.append(body)  # type: ignore[method-assign]
+    world.routers[2].send = lambda to, body, reliable=False: late.append(body)  # type: ignore[method-assign]
     world.net.run(500.0)
-    del world.routers[2].carry
+    del world.routers[2].send
     world.routers[2].kill()
     world.routers[2].start()
     world.net.run(4000.0)
@@ -105,7 +109,7 @@
     before = [x.members.view() for x in world.routers]
     for body in late:  # late datagrams of the previous run
         for other in (world.routers[0], world.routers[2]):
-            other.act(other.members.receive(world.net.now, wire.decode(body)), world.routers[2].address)
+            other.perform(other.members.receive(world.net.now, wire.decode(body)), world.routers[2].address)
     world.net.run(4000.0)
     assert [x.members.view() for x in world.routers] == before
 
@@ -115,7 +119,7 @@
     one, other = world.routers[0], world.routers[1]
     world.net.change(one.address, other.address, cut=True)
     world.net.run(30_000.0)
-    assert world.agreed() and not world.told("dead")
+    assert world.agreed() and not world.changes_of("dead")
     for router in world.routers:
         assert router.members.split_observers("r001")[1] == ["r000"] and router.members.split_observers(
             "r000"
@@ -129,7 +133,7 @@
     world = begun(3)
     world.net.cut([world.routers[0].address], [world.routers[1].address])
     world.net.run(30_000.0)
-    assert world.agreed() and not world.told("dead") and not world.told("suspect")
+    assert world.agreed() and not world.changes_of("dead") and not world.changes_of("suspect")
 
 
 def test_one_site_that_reaches_half_of_another_removes_nobody() -> None:
@@ -137,7 +141,7 @@
     here, there = world.routers[::2], world.routers[1::2]
     world.net.cut(places(here), places(there[:2]))
     world.net.run(30_000.0)
-    assert world.agreed() and not world.told("dead")
+    assert world.agreed() and not world.changes_of("dead")
 
 
 @pytest.mark.parametrize("deaf", [True, False])
@@ -149,14 +153,14 @@
         world.net.change(*((other.address, one.address) if deaf else (one.address, other.address)), cut=True)
     world.net.run(30_000.0)
     assert world.agreed(others)
-    assert sorted(x.by for x in world.told("dead") if x.what.name == one.name and x.by != one.name) == [
-        x.name for x in others
-    ]
-    assert not [x for x in world.told("returned") if x.by != one.name]
+    assert sorted(
+        x.observer for x in world.changes_of("dead") if x.change.name == one.name and x.observer != one.name
+    ) == [x.name for x in others]
+    assert not [x for x in world.changes_of("returned") if x.observer != one.name]
     if not deaf:
         assert one.voided, "it receives the others' record of it"
     world.net.heal()
-    world.until_agreed(HEALED_MS)
+    world.run_until_agreed(HEALED_MS)
     world.net.run(5000.0)
     assert world.agreed()
 
@@ -170,7 +174,7 @@
     assert world.agreed(some) and world.agreed(others)
     assert [x.members.view().majority for x in world.routers] == [left == 3] * left + [False] * len(others)
     world.net.heal()
-    world.until_agreed(HEALED_MS)
+    world.run_until_agreed(HEALED_MS)
     world.net.run(5000.0)
     assert world.agreed() and all(x.members.view().majority for x in world.routers)
     assert {x.members.own_record.incarnation for x in world.routers} == {2}
@@ -180,17 +184,17 @@
     world = begun(16)
     for router in world.routers[::2]:
         router.kill()
-    assert world.until_agreed(ALL_KNOW_MS) <= ALL_KNOW_MS
+    assert world.run_until_agreed(ALL_KNOW_MS) <= ALL_KNOW_MS
 
 
 def test_a_planned_end_is_told_before_it_happens() -> None:
     world = begun(5)
     leaver = world.routers[1]
-    leaver.act(leaver.members.leave(world.net.now))
+    leaver.perform(leaver.members.leave(world.net.now))
     world.net.run(300.0)
     leaver.kill()
     world.net.run(10_000.0)
-    assert world.agreed() and not world.told("dead") and not world.told("suspect")
+    assert world.agreed() and not world.changes_of("dead") and not world.changes_of("suspect")
     assert {x.members.state("r001") for x in world.routers if x is not leaver} == {"left"}
     assert world.routers[0].members.view().expected == 4
 
@@ -200,10 +204,10 @@
     world.routers[3].start()
     world.net.run(3000.0)
     assert world.routers[3].members.view().names == ("r003",)
-    assert any("starting as the only member" in x for x in world.routers[3].said)
+    assert any("starting as the only member" in x for x in world.routers[3].log_lines)
     for router in world.routers[:3]:
         router.start()
-    world.until_agreed(5000.0)
+    world.run_until_agreed(5000.0)
 
 
 def test_two_routers_of_one_name_the_later_one_stays_out_and_both_say_it() -> None:
@@ -213,8 +217,8 @@
     duplicate.start()
     world.net.run(10_000.0)
     assert not duplicate.members.joined and world.agreed(world.routers)
-    assert any("the name r001 is already used by another running router" in x for x in duplicate.said)
-    assert any("another router uses the name r001 too" in x for x in world.routers[1].said)
+    assert any("the name r001 is already used by another running router" in x for x in duplicate.log_lines)
+    assert any("another router uses the name r001 too" in x for x in world.routers[1].log_lines)
     world.routers[1].kill()
     world.net.run(15_000.0)
     assert duplicate.members.joined and world.agreed([world.routers[0], duplicate, *world.routers[2:]])
@@ -246,11 +250,11 @@
 
 
 def test_facts_reach_all_and_what_was_lost_is_healed() -> None:
-    world = begun(16, way=Way(loss=0.3))
+    world = begun(16, way=LinkConditions(loss=0.3))
     with pytest.raises(ValueError, match="facts of 600 bytes exceed the maximum of 512 bytes"):
         world.routers[0].members.publish(world.net.now, bytes(600))
     for n in range(5):
-        world.routers[0].act(world.routers[0].members.publish(world.net.now, b"fact %d" % n))
+        world.routers[0].perform(world.routers[0].members.publish(world.net.now, b"fact %d" % n))
         world.net.run(1500.0)
     world.net.run(3000.0)
     assert {x.members.table.records["r000"].facts for x in world.routers} == {b"fact 4"}
@@ -297,9 +301,9 @@
     told = paused.members.check_pause(world.net.now)
     assert isinstance(told[0], core.ProcessPaused) and told[0].ms > 1900.0
     assert not paused.members.trusted, "it has to resync before it acts"
-    world.net.wake(paused.process)
+    world.net.resume(paused.process)
     world.net.run(1500.0)
-    assert paused.members.trusted and not paused.away, "the pause is reported once"
+    assert paused.members.trusted and not paused.pauses_ms, "the pause is reported once"
 
 
 def test_two_keys_are_taken_while_one_is_changed_and_no_other() -> None:
@@ -392,11 +396,11 @@
     highest: dict[tuple[str, str], int] = {}
 
     def check() -> None:
-        for one in world.seen:
-            assert highest.get((one.by, one.what.name), 0) <= one.what.incarnation
-            highest[one.by, one.what.name] = one.what.incarnation
-            assert cause or one.what.change != "dead", one
-        world.seen.clear()
+        for one in world.changes:
+            assert highest.get((one.observer, one.change.name), 0) <= one.change.incarnation
+            highest[one.observer, one.change.name] = one.change.incarnation
+            assert cause or one.change.change != "dead", one
+        world.changes.clear()
 
     def end(one: Router) -> None:
         one.kill()
@@ -415,28 +419,28 @@
                 world.net.pause(one.process)
                 cause = cause or True
             case "wake" if one.process.alive:
-                world.net.wake(one.process)
+                world.net.resume(one.process)
             case "mute" | "cut":
                 world.net.cut([one.address], [other.address], both=act == "cut")
                 cause = cause or count < 4
-                cause = cause or sum(x.cut for x in world.net.ways.values()) > 1
+                cause = cause or sum(x.cut for x in world.net.conditions.values()) > 1
             case "heal":
                 world.net.heal()
             case "loss":
-                world.net.usual = Way(loss=0.2)
+                world.net.default_conditions = LinkConditions(loss=0.2)
             case "leave" if one.running and not one.members.left:
-                one.act(one.members.leave(world.net.now))
+                one.perform(one.members.leave(world.net.now))
                 cause = True
         world.net.run(float(ms))
         check()
-    world.net.usual = Way()
+    world.net.default_conditions = LinkConditions()
     world.net.heal()
     for router in world.routers:
         if not router.process.alive or router.members.left:
             end(router)
             router.start()
         elif router.process.paused:
-            world.net.wake(router.process)
+            world.net.resume(router.process)
     cause = True
     world.net.run(12_000.0)
     check()
--- a/tests/test_operations_network.py
+++ b/tests/test_operations_network.py
@@ -16,51 +16,62 @@
 import pytest
 
 from cloverhinge.lab import harness
-from cloverhinge.lab.harness import WAIT_S, ChangeLog, Message, Program, Pump, Wire, answer, ask
+from cloverhinge.lab.harness import (
+    TIMEOUT_S,
+    FakeChangeLog,
+    FakeMediaServer,
+    Message,
+    Program,
+    RtspConnection,
+    read_answer,
+    send_set_up,
+)
 from cloverhinge.operations import console
 from tests import guards
 
-site = partial(harness.site, program=guards.program())
+site = partial(harness.running_program, program=guards.program())
 FIGURES = {"ok", "shed", "errors", "tries"}
 
 
 def figures(program: Program) -> dict[str, int]:
-    first, *told, last = program.call("stats")
+    first, *told, last = program.operator_call("stats")
     assert (first, last) == ("ACK", "--")
     return {name: int(value) for name, value in (line.split("=") for line in told)}
 
 
-def played(viewer: Wire, number: int, title: str = "7f3a9c21e0b4d655") -> Message:
-    ask(viewer, number, title=title)
-    return answer(viewer)
+def played(viewer: RtspConnection, number: int, title: str = "7f3a9c21e0b4d655") -> Message:
+    send_set_up(viewer, number, title=title)
+    return read_answer(viewer)
 
 
 def test_callers_are_answered_beside_those_who_say_nothing(tmp_path: Path) -> None:
     """Guards the door: more silent callers than it has places, broken ones, one that closes at once."""
-    with site(tmp_path, operated=True) as (program, _, _log):
-        held = [socket.create_connection(("127.0.0.1", program.mgmt)) for _ in range(40)]
+    with site(tmp_path, operator_calls=True) as (program, _, _log):
+        held = [socket.create_connection(("127.0.0.1", program.operator_port)) for _ in range(40)]
         for one in held[::2]:
             one.sendall(b"stat")
-        assert program.call("status") == ["ACK"]
-        assert program.call("x" * 5000)[0].startswith("NAK")
-        with socket.create_connection(("127.0.0.1", program.mgmt), WAIT_S) as link:
+        assert program.operator_call("status") == ["ACK"]
+        assert program.operator_call("x" * 5000)[0].startswith("NAK")
+        with socket.create_connection(("127.0.0.1", program.operator_port), TIMEOUT_S) as link:
             link.sendall(b"status\n")
             link.shutdown(socket.SHUT_WR)
             assert link.makefile("rb").read() == b"ACK\n"
-        assert [program.call(x)[0][:3] for x in ("maint-on s-77777777", "maint-off", "\0")] == ["NAK"] * 3
+        assert [program.operator_call(x)[0][:3] for x in ("maint-on s-77777777", "maint-off", "\0")] == [
+            "NAK"
+        ] * 3
         for one in held:
             one.close()
 
 
 def test_figures_follow_what_viewers_and_boxes_saw(tmp_path: Path) -> None:
-    with site(tmp_path, operated=True) as (program, pumps, _):
+    with site(tmp_path, operator_calls=True) as (program, pumps, _):
         viewer = program.connect()
         for number in range(1, 6):
             assert played(viewer, number, f"title-{number}").status == 200
         for pump in pumps:
-            pump.script = lambda wire, message: wire.send("RTSP/1.0 500 No", message.session)
-        ask(viewer, 6, "paid", title="other")
-        assert answer(viewer).status == 500
+            pump.on_set_up = lambda wire, message: wire.send("RTSP/1.0 500 No", message.session)
+        send_set_up(viewer, 6, "paid", title="other")
+        assert read_answer(viewer).status == 500
         told = figures(program)
         assert {name.split(".")[0] for name in told if "." in name} == FIGURES
         assert (told["ok.free"], told["errors.paid"], told["tries.paid"], told["shed.free"]) == (5, 1, 1, 0)
@@ -68,27 +79,35 @@
 
 
 def test_a_box_left_out_gets_nothing_new_over_lists_and_sighup_until_it_is_put_back(tmp_path: Path) -> None:
-    with site(tmp_path, operated=True) as (program, pumps, log):
+    with site(tmp_path, operator_calls=True) as (program, pumps, log):
         viewer = program.connect()
-        assert program.call("maint-on s-00000000") == ["ACK"] == program.call("maint-on s-00000000")
-        log.tell([pumps[0].row()])
+        assert (
+            program.operator_call("maint-on s-00000000")
+            == ["ACK"]
+            == program.operator_call("maint-on s-00000000")
+        )
+        log.publish([pumps[0].list_entry()])
         program.wait_for("list 2")
-        program.reload(json.dumps(program.told))
+        program.reload(json.dumps(program.initial_config))
         program.wait_for("read anew")
         for number in range(1, 9):
             assert played(viewer, number, f"title-{number}").status == 200
-        assert not pumps[0].setups and len(pumps[1].setups) == 8 and figures(program)["pool_ejected"] == 1
-        assert program.call("maint-off s-00000000") == ["ACK"]
+        assert (
+            not pumps[0].set_up_sessions
+            and len(pumps[1].set_up_sessions) == 8
+            and figures(program)["pool_ejected"] == 1
+        )
+        assert program.operator_call("maint-off s-00000000") == ["ACK"]
         number = 9
-        while not pumps[0].setups:  # cold: a few at a time
+        while not pumps[0].set_up_sessions:  # cold: a few at a time
             assert played(viewer, number, f"title-{number}").status == 200 and number < 200
             number += 1
         assert figures(program)["pool_ejected"] == 0
 
 
 def test_bans_outlive_a_crash_and_a_bad_file_takes_none_from_memory(tmp_path: Path) -> None:
-    with site(tmp_path, operated=True) as (program, pumps, _):
-        program.call("maint-on s-00000000")
+    with site(tmp_path, operator_calls=True) as (program, pumps, _):
+        program.operator_call("maint-on s-00000000")
         program.process.kill()
         program.process.wait()
         later = program.successor()
@@ -99,25 +118,25 @@
             later.wait_for("is no file of bans")
             for number in range(1, 5):
                 assert played(viewer, number, f"title-{number}").status == 200
-            assert not pumps[0].setups
-            later.call("maint-on s-00000001")
+            assert not pumps[0].set_up_sessions
+            later.operator_call("maint-on s-00000001")
             assert set(json.loads(file.read_text())["records"]) == {"s-00000000", "s-00000001"}
         finally:
-            assert later.end() == 0
+            assert later.terminate() == 0
 
 
 @contextmanager
-def inherited(folder: Path, count: int = 2) -> Iterator[tuple[Program, list[Pump], ChangeLog]]:
+def inherited(folder: Path, count: int = 2) -> Iterator[tuple[Program, list[FakeMediaServer], FakeChangeLog]]:
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
-        site(folder, count, operated=True, listener=listener) as made,
+        site(folder, count, operator_calls=True, listener=listener) as made,
     ):
         yield made
 
 
 def ended(program: Program) -> None:
     program.process.send_signal(signal.SIGTERM)
-    assert program.process.wait(WAIT_S) == 0 and "Traceback" not in "".join(program.log)
+    assert program.process.wait(TIMEOUT_S) == 0 and "Traceback" not in "".join(program.log)
 
 
 def test_a_new_version_takes_over_and_no_request_is_lost_twice_and_back(tmp_path: Path) -> None:
@@ -130,24 +149,24 @@
             busy = old.connect()
             assert played(busy, 2000 + number).status == 200  # the old one has accepted it
             new = old.successor()
-            assert new.call("status") == ["ACK"]
-            pumps[0].script = pumps[0].hold
-            open_one, session = ask(busy, 1000 + number, wait_ms=5000, title=f"open-{number}"), ""
+            assert new.operator_call("status") == ["ACK"]
+            pumps[0].on_set_up = pumps[0].leave_unanswered
+            open_one, session = send_set_up(busy, 1000 + number, wait_ms=5000, title=f"open-{number}"), ""
             while session != open_one:
                 wire, message = pumps[0].expect("SETUP")
                 session = message.session
             old.process.send_signal(signal.SIGTERM)
             old.wait_for("told to end")
             assert resting.read() is None  # its end is announced at once: nothing was open on it
-            assert old.call("status")[0].startswith("NAK")
-            pumps[0].script = pumps[0].accept
+            assert old.operator_call("status")[0].startswith("NAK")
+            pumps[0].on_set_up = pumps[0].accept
             resting = new.connect()
             for _ in range(4):
                 number += 1
                 assert played(resting, number, f"title-{number}").status == 200
             wire.send("RTSP/1.0 200 OK", open_one, body=b"made")
-            assert answer(busy).session == open_one and busy.read() is None
-            assert old.process.wait(WAIT_S) == 0
+            assert read_answer(busy).session == open_one and busy.read() is None
+            assert old.process.wait(TIMEOUT_S) == 0
             assert not list(tmp_path.glob(f"*-{old.process.pid}.*"))
             old = new
         ended(old)
@@ -159,12 +178,12 @@
         kept = old.connect()
         assert played(kept, 1).status == 200
         new = old.successor()
-        assert new.call("maint-on s-00000000") == ["ACK"]
+        assert new.operator_call("maint-on s-00000000") == ["ACK"]
         old.wait_for("s-00000000: left out by hand")
-        before = len(pumps[0].setups)
+        before = len(pumps[0].set_up_sessions)
         for number in range(2, 8):
             assert played(kept, number, f"title-{number}").status == 200  # on a connection of the old one
-        assert len(pumps[0].setups) == before and figures(old)["ok.free"] == 7
+        assert len(pumps[0].set_up_sessions) == before and figures(old)["ok.free"] == 7
         ended(new)
 
 
@@ -176,7 +195,7 @@
         new.process.wait()
         old.wait_for("no other process serves")
         viewer = old.connect()
-        assert played(viewer, 1).status == 200 and old.call("status") == ["ACK"]
+        assert played(viewer, 1).status == 200 and old.operator_call("status") == ["ACK"]
 
 
 def test_a_new_process_that_never_says_yes_takes_nothing_from_the_old_one(tmp_path: Path) -> None:
@@ -189,14 +208,14 @@
         viewers = [old.connect() for _ in range(10)]
         for number, viewer in enumerate(viewers, 1):
             assert played(viewer, number, f"title-{number}").status == 200
-        assert old.call("status") == ["ACK"] and figures(old)["ok.free"] == 10
+        assert old.operator_call("status") == ["ACK"] and figures(old)["ok.free"] == 10
 
 
 def stopped(new: Program, pattern: str) -> re.Match[str]:
     """The first line that is waited for, then an end before the second."""
     told = Program.wait_for(new, pattern)
-    new.mgmt = int(told[1])
-    assert new.call("status") == ["NAK starting"]
+    new.operator_port = int(told[1])
+    assert new.operator_call("status") == ["NAK starting"]
     new.process.send_signal(signal.SIGSTOP)
     raise AssertionError("stopped")
 
@@ -204,26 +223,26 @@
 def test_a_router_that_is_full_is_replaced_and_each_request_has_its_answer(tmp_path: Path) -> None:
     """Load that all boxes refuse, on connections old and new, before and after the old one is told to end."""
 
-    def full(wire: Wire, message: Message) -> None:
+    def full(wire: RtspConnection, message: Message) -> None:
         wire.send("RTSP/1.0 453 Not Enough Bandwidth", message.session, X_Circuits="x0:1.6;x1:1.2")
 
     with inherited(tmp_path, 2) as (old, pumps, _):
         for pump in pumps:
-            pump.script, pump.load = full, "x0:1.6;x1:1.2"
+            pump.on_set_up, pump.load = full, "x0:1.6;x1:1.2"
         number, new = 0, old
         viewers = [old.connect() for _ in range(12)]
         for turn in range(3):
             for viewer in viewers:
                 number += 1
-                ask(viewer, number, title=f"title-{number % 5}")
+                send_set_up(viewer, number, title=f"title-{number % 5}")
             if turn == 0:
                 new = old.successor()
-                assert new.call("status") == ["ACK"]
+                assert new.operator_call("status") == ["ACK"]
             for viewer in viewers:
-                assert answer(viewer).status in (453, 503)
+                assert read_answer(viewer).status in (453, 503)
             if turn == 1:
                 old.process.send_signal(signal.SIGTERM)
-                assert old.process.wait(WAIT_S) == 0
+                assert old.process.wait(TIMEOUT_S) == 0
                 viewers = [new.connect() for _ in range(12)]
         told = figures(new)
         assert old.process.returncode == 0 and told["shed.free"] >= 12 and told["active"] == 0
@@ -232,12 +251,12 @@
 
 def test_a_new_process_hears_what_changed_since_its_configuration_before_it_says_yes(tmp_path: Path) -> None:
     with inherited(tmp_path) as (old, pumps, log):
-        log.tell([pumps[0].row("left")])
+        log.publish([pumps[0].list_entry("left")])
         old.wait_for("list 2")
         new = old.successor()
         old.process.send_signal(signal.SIGHUP)  # in the overlap
         old.wait_for("read anew")
-        assert new.call("status") == ["ACK"] and figures(new)["pool_size"] == 1
+        assert new.operator_call("status") == ["ACK"] and figures(new)["pool_size"] == 1
         first = [word for line in new.log for word in ("list 2", "listening") if f" {word}" in line]
         assert first == ["list 2", "listening"]
         ended(new)
@@ -246,13 +265,13 @@
 def test_the_admin_socket_and_the_console_speak_to_the_same_bans(tmp_path: Path) -> None:
     deploy = tmp_path / "site.toml"
     deploy.write_text('[admin]\nlisten = "127.0.0.1:0"\n')
-    with site(tmp_path, operated=True, deploy=deploy) as (program, _, _log):
+    with site(tmp_path, operator_calls=True, site_file=deploy) as (program, _, _log):
         where = "127.0.0.1", int(program.wait_for(r"admin on 127\.0\.0\.1:(\d+)")[1])
         assert console.ask(where, "maint-on s-00000000") == {"answer": "ACK"}
         assert figures(program)["pool_ejected"] == 1
         assert "LEFT OUT BY HAND  s-00000000" in console.render(console.fetch(where))
         assert console.ask(where, "maint-off s-9")["answer"].startswith("NAK")
-        assert program.call("maint-off s-00000000") == ["ACK"]
+        assert program.operator_call("maint-off s-00000000") == ["ACK"]
         assert console.fetch(where)["operation"]["left_out"] == []
 
 
@@ -260,7 +279,7 @@
     from cloverhinge import cli
 
     config = tmp_path / "config.json"
-    config.write_text(json.dumps(Program.configuration("n0", ChangeLog(), {"seq": 0, "results": []})))
+    config.write_text(json.dumps(Program.configuration("n0", FakeChangeLog(), {"seq": 0, "results": []})))
     before = dict(os.environ)
     try:
         os.environ |= {"LB_CONFIG": str(config), "LB_LISTEN_FD": "five"}
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cloverhinge.emulator.disks import Disk
-from cloverhinge.emulator.ownership_world import Fetch, Keepers, rough
+from cloverhinge.emulator.ownership_world import Fetch, OwnershipWorld, random_fault_run
 from cloverhinge.ownership import placement, register
 from cloverhinge.ownership.model import Rules, Stage, Verdict
 from cloverhinge.ownership.register import EMPTY_SLOT, Accepted, Denied, Phase, Slot, Work
@@ -15,15 +15,15 @@
 SPAN_MS = 30_000.0
 
 
-def world(count: int = 5, seed: int = 1, sites: int = 1) -> Keepers:
-    made = Keepers(count, seed, sites=sites)
+def world(count: int = 5, seed: int = 1, sites: int = 1) -> OwnershipWorld:
+    made = OwnershipWorld(count, seed, sites=sites)
     made.start(3000.0)
-    made.until_rostered()
+    made.run_until_replica_set_agreed()
     return made
 
 
-def fetched(made: Keepers, at: int, id: str, ms: float = 4000.0) -> str:
-    fetch: Fetch = made.keepers[at].fetch(id)
+def fetched(made: OwnershipWorld, at: int, id: str, ms: float = 4000.0) -> str:
+    fetch: Fetch = made.ownership_routers[at].fetch(id)
     until = made.net.now + ms
     while not fetch.answer and made.net.now < until:
         made.net.run(5.0)
@@ -32,51 +32,51 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_random_schedules_violate_no_guarantee(seed: int) -> None:
-    made = rough(seed, SPAN_MS)
-    assert not made.broken()
-    if not sum(x.custody.counters.unknown for x in made.keepers):
+    made = random_fault_run(seed, SPAN_MS)
+    assert not made.violations()
+    if not sum(x.ownership.counters.unknown for x in made.ownership_routers):
         assert not made.unowned()
 
 
 @pytest.mark.parametrize("seed", (*SEEDS, 22, 329))  # the last two once ended without a replica set
 def test_random_schedules_with_stores_violate_no_guarantee_even_if_all_are_killed_at_once(seed: int) -> None:
-    made = rough(seed, SPAN_MS, stores=True)
-    assert not made.broken()
+    made = random_fault_run(seed, SPAN_MS, stores=True)
+    assert not made.violations()
 
 
 def test_a_killed_owner_s_sessions_are_spread_and_owned_again_within_three_seconds() -> None:
     made = world(5)
     for number in range(60):
-        made.keepers[1].fetch(f"p{number}")
+        made.ownership_routers[1].fetch(f"p{number}")
     made.net.run(1000.0)
-    made.keepers[1].kill()
+    made.ownership_routers[1].kill()
     begun = made.net.now
     while made.unowned():
         made.net.run(25.0)
         assert made.net.now - begun < 3000.0
-    shares = [len(x.custody.owned) for x in made.keepers if x.running]
+    shares = [len(x.ownership.owned) for x in made.ownership_routers if x.running]
     assert sum(shares) == 60 and max(shares) <= 30, shares
 
 
 def test_the_first_replica_set_needs_a_majority_of_routers_and_later_ones_of_the_last_set() -> None:
-    made = Keepers(5, 3)
+    made = OwnershipWorld(5, 3)
     for router in made.routers[:2]:
         router.start()
     made.net.run(10_000.0)
-    assert all(x.custody.replica_sets.current is None for x in made.keepers[:2])
+    assert all(x.ownership.replica_sets.current is None for x in made.ownership_routers[:2])
     assert fetched(made, 0, "p0") == "refused" and not made.sessions
     made.routers[2].start()
-    made.until_rostered()
-    made.keepers[1].kill()
-    made.keepers[2].kill()
+    made.run_until_replica_set_agreed()
+    made.ownership_routers[1].kill()
+    made.ownership_routers[2].kill()
     made.net.run(10_000.0)
-    assert made.keepers[0].custody.replica_sets.stuck_reason
+    assert made.ownership_routers[0].ownership.replica_sets.stuck_reason
     assert fetched(made, 0, "p1") == "refused" and "p1" not in made.sessions
     made.routers[1].start()
     made.routers[2].start()
-    made.until_rostered()
+    made.run_until_replica_set_agreed()
     assert fetched(made, 1, "p2") == "failed"  # two of three replicas were lost: it may have been set up
-    made.net.run(made.rules_kept.hole_ms)
+    made.net.run(made.ownership_rules.hole_ms)
     assert fetched(made, 1, "p3") == "200"
 
 
@@ -87,16 +87,16 @@
         router.kill()
         router.start()
     made.net.run(3000.0)
-    made.until_rostered()
+    made.run_until_replica_set_agreed()
     # No router has any state: it is a new installation, or all records count as unknown.
     assert fetched(made, 2, "p0") in ("failed", "200")
 
 
-def with_stores(count: int = 5, sync_ms: float = 8.0, lease_ms: float = 1500.0) -> Keepers:
-    made = Keepers(count, 1, stores=True, rules_kept=Rules(lease_ms=lease_ms))
+def with_stores(count: int = 5, sync_ms: float = 8.0, lease_ms: float = 1500.0) -> OwnershipWorld:
+    made = OwnershipWorld(count, 1, stores=True, ownership_rules=Rules(lease_ms=lease_ms))
     made.disks = {x.name: Disk(made.net.random, sync_ms) for x in made.routers}
     made.start(3000.0)
-    made.until_rostered()
+    made.run_until_replica_set_agreed()
     return made
 
 
@@ -109,35 +109,35 @@
             router.kill()
             router.start()
         begun = made.net.now
-        made.until_rostered()
+        made.run_until_replica_set_agreed()
         while not fetched(made, 0, "p0") == "200":
             assert made.net.now - begun < 5000.0
         assert {fetched(made, (number + times) % 7, f"p{number}") for number in range(20)} == {"200"}
-        assert all(len(x.sent) == 1 for x in made.sessions.values()) and not made.broken()
+        assert all(len(x.sent) == 1 for x in made.sessions.values()) and not made.violations()
 
 
 def test_what_was_not_safe_was_not_said() -> None:
     """A power failure just after a set-up's first byte was sent: no commit under way reaches a disk."""
     made = with_stores(5, sync_ms=200.0)
-    made.keepers[1].fetch("p0")
+    made.ownership_routers[1].fetch("p0")
     begun = made.net.now
     while not made.session("p0").sent:
         made.net.run(0.5)
         assert made.net.now - begun < 3000.0
-    for router in made.keepers:
+    for router in made.ownership_routers:
         router.disk.pending.clear()
         router.kill()
         router.start()
-    made.until_rostered()
+    made.run_until_replica_set_agreed()
     answers = [fetched(made, 2, "p0") for _ in range(4)]  # with so slow a disk it may be refused at first
     assert answers[-1] in ("failed", "200"), answers
-    assert len(made.session("p0").sent) == 1 and not made.broken()
+    assert len(made.session("p0").sent) == 1 and not made.violations()
 
 
 def test_a_keeper_that_comes_back_at_once_honours_the_lease_it_had_granted() -> None:
     """The owner is paused with a set-up about to be sent, and may still send it when it resumes."""
     made = with_stores(5, lease_ms=20_000.0)
-    owner = made.keepers[1]
+    owner = made.ownership_routers[1]
     fetch = owner.fetch("p0")
     begun = made.net.now
     while owner.sessions.get("p0") != "open":
@@ -149,15 +149,15 @@
             router.kill()
             router.start()
     begun = made.net.now
-    while not all(x.custody.replica_sets.active for x in made.keepers if x is not owner):
+    while not all(x.ownership.replica_sets.active for x in made.ownership_routers if x is not owner):
         made.net.run(25.0)
         assert made.net.now - begun < 14_000.0
     assert fetched(made, 2, "p0", 1000.0) == ""  # not answered: the owner may act
-    made.net.wake(owner.process)
+    made.net.resume(owner.process)
     made.net.run(50.0)
     assert made.session("p0").sent
     made.net.run(40_000.0)
-    assert fetched(made, 3, "p0") in ("200", "failed") and not made.broken() and fetch.answer != ""
+    assert fetched(made, 3, "p0") in ("200", "failed") and not made.violations() and fetch.answer != ""
 
 
 def test_all_but_one_restart_and_what_they_kept_is_unknown() -> None:
@@ -167,56 +167,58 @@
     for router in made.routers[1:]:
         router.kill()
         router.start()
-    made.until_rostered()
+    made.run_until_replica_set_agreed()
     answers = {fetched(made, 2, f"p{number}") for number in range(20)}
-    assert answers <= {"failed", "200"} and not made.broken()
+    assert answers <= {"failed", "200"} and not made.violations()
 
 
 def test_a_single_router_replicates_its_own_work() -> None:
     made = world(1)
-    assert fetched(made, 0, "p0") == "200" and not made.broken()
+    assert fetched(made, 0, "p0") == "200" and not made.violations()
 
 
 def test_a_set_up_about_to_leave_stays_after_a_pause_and_is_known_to_be_lost() -> None:
     made = world(5)
-    owner = made.keepers[1]
+    owner = made.ownership_routers[1]
     fetch = owner.fetch("p0")
     while owner.sessions.get("p0") != "open":
         made.net.run(0.1)
     made.net.pause(owner.process)
     assert fetched(made, 2, "p0") == "failed"
-    made.net.wake(owner.process)
+    made.net.resume(owner.process)
     made.net.run(500.0)
     assert not made.session("p0").sent and fetch.answer == "refused"
-    assert not owner.custody.may_act("p0", made.net.now)
+    assert not owner.ownership.may_act("p0", made.net.now)
 
 
 def test_an_owner_that_slept_knows_what_was_taken_from_it() -> None:
     made = world(5)
-    owner = made.keepers[1]
+    owner = made.ownership_routers[1]
     assert fetched(made, 1, "p0") == "200"
     made.net.pause(owner.process)
-    made.net.cut([made.keepers[2].address], [owner.address], both=False)  # only replicas can tell it
+    made.net.cut(
+        [made.ownership_routers[2].address], [owner.address], both=False
+    )  # only replicas can tell it
     assert fetched(made, 2, "p0") == "200"
     made.net.heal()
-    made.net.wake(owner.process)
+    made.net.resume(owner.process)
     made.net.run(1000.0)
-    assert not owner.custody.may_act("p0", made.net.now) and made.owners("p0") == ["r002"]
-    assert owner.custody.counters.fenced == 1
+    assert not owner.ownership.may_act("p0", made.net.now) and made.owners("p0") == ["r002"]
+    assert owner.ownership.counters.fenced == 1
 
 
 def test_a_handed_over_record_is_not_claimed_as_new_in_the_next_replica_set() -> None:
     made = world(5)
     assert fetched(made, 1, "p0") == "200" and fetched(made, 2, "p0") == "200"
-    made.keepers[4].kill()
-    made.until_rostered()
-    assert fetched(made, 1, "p0") == "200" and not made.broken()
+    made.ownership_routers[4].kill()
+    made.run_until_replica_set_agreed()
+    assert fetched(made, 1, "p0") == "200" and not made.violations()
 
 
 def test_a_claim_that_one_keeper_took_hides_nothing_that_most_hold() -> None:
     """One replica missed what two others accepted, and alone accepts a later claim; the owner is paused."""
     made = world(3)
-    a, b, c = made.keepers
+    a, b, c = made.ownership_routers
     made.net.cut([a.address], [c.address])
     a.fetch("p0")
     made.net.run(20.0)
@@ -232,21 +234,21 @@
     """The write follows a prepare round, as a replica is unreachable; the replica set changes when one
     replica has accepted it."""
     made = world(5)
-    asker = made.keepers[0]
-    keepers = asker.custody.replicas_of("p0")
-    away = next(x for x in made.keepers if x.custody.own_id in keepers and x is not asker)
+    asker = made.ownership_routers[0]
+    keepers = asker.ownership.replicas_of("p0")
+    away = next(x for x in made.ownership_routers if x.ownership.own_id in keepers and x is not asker)
     made.net.cut([away.address], [asker.address])
     fetch = asker.fetch("p0")
     begun = made.net.now
-    while (attempt := asker.custody.acquisitions.get("p0")) is None or attempt.stage is not Stage.WRITE:
+    while (attempt := asker.ownership.acquisitions.get("p0")) is None or attempt.stage is not Stage.WRITE:
         made.net.run(0.1)
         assert made.net.now - begun < 1000.0
     attempt.wrote_prepared = False  # as where the attempt began with a prepare round
-    asker.custody._decide(made.net.now, attempt, None, False)
+    asker.ownership._decide(made.net.now, attempt, None, False)
     made.net.run(0.3)
     attempt.stage, attempt.next_ms, attempt.may_claim = Stage.WAIT, made.net.now, False
     made.net.run(1000.0)
-    assert fetch.answer == "200" and not made.broken()
+    assert fetch.answer == "200" and not made.violations()
 
 
 def test_replicas_are_on_other_sites_first_and_spread() -> None:
@@ -289,7 +291,7 @@
 
 def test_claims_are_bounded() -> None:
     made = world(3)
-    core, now = made.keepers[0].custody, made.net.now
+    core, now = made.ownership_routers[0].ownership, made.net.now
     core.acquisitions = {str(n): None for n in range(5000)}  # type: ignore[misc]
     actions = core.claim(now, 1, "h/x", True, b"", now + 10, now + 10)
     assert [x.verdict for x in actions if hasattr(x, "verdict")] == [Verdict.UNREPLICATED]
@@ -312,11 +314,11 @@
 
 def _result(seed: int, stores: bool) -> str:
     try:
-        made = rough(seed, stores=stores)
+        made = random_fault_run(seed, stores=stores)
     except AssertionError as error:
         return f"no replica set: {str(error)[:300]}"
-    unknown = sum(x.custody.counters.unknown for x in made.keepers)
-    return "; ".join([*made.broken(), *([] if unknown else made.unowned())])
+    unknown = sum(x.ownership.counters.unknown for x in made.ownership_routers)
+    return "; ".join([*made.violations(), *([] if unknown else made.unowned())])
 
 
 if __name__ == "__main__":
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -17,7 +17,14 @@
 from cloverhinge.core.model import ServerPort
 from cloverhinge.core.router import Router
 from cloverhinge.core.slots import SlotTable
-from cloverhinge.lab.harness import Message, Pump, Wire, answer, ask, site
+from cloverhinge.lab.harness import (
+    FakeMediaServer,
+    Message,
+    RtspConnection,
+    read_answer,
+    running_program,
+    send_set_up,
+)
 from cloverhinge.rtsp import messages
 from cloverhinge.rtsp.client import RtspClient
 from cloverhinge.rtsp.client_connection import ClientConnection
@@ -28,10 +35,10 @@
 
 def test_who_says_nothing_or_trickles_is_closed_within_3_s_and_an_idle_viewer_is_not(tmp_path: Path) -> None:
     """Guards the descriptors: bytes that complete no message renew nothing."""
-    with site(tmp_path, 1) as (program, _, _log):
+    with running_program(tmp_path, 1) as (program, _, _log):
         viewer, silent, slow = (program.connect() for _ in range(3))
         viewer.send("OPTIONS rtsp://media/ping RTSP/1.0", "00000000000000aa", 3)
-        assert answer(viewer).status == 200
+        assert read_answer(viewer).status == 200
         started, ended = time.monotonic(), threading.Event()
 
         def trickle() -> None:
@@ -45,35 +52,35 @@
         assert silent.read() is None and slow.read() is None
         ended.set()
         assert 2.0 < time.monotonic() - started < 3.0
-        ask(viewer, 1)
-        assert answer(viewer).status == 200
+        send_set_up(viewer, 1)
+        assert read_answer(viewer).status == 200
 
 
 def test_a_flood_of_silent_connections_displaces_no_viewer_and_hears_no_release(tmp_path: Path) -> None:
     """Guards against releases told to strangers, and against the table emptied of viewers by a flood."""
-    with site(tmp_path, 1, sockets=64) as (program, pumps, _):
+    with running_program(tmp_path, 1, sockets=64) as (program, pumps, _):
         gone, viewer = program.connect(), program.connect()
-        names = [ask(gone, 1), ask(viewer, 2)]
-        assert answer(gone).status == 200 and answer(viewer).status == 200
+        names = [send_set_up(gone, 1), send_set_up(viewer, 2)]
+        assert read_answer(gone).status == 200 and read_answer(viewer).status == 200
         gone.close()
         flood = [program.connect() for _ in range(100)]  # the table holds 32
         wire, _ = pumps[0].expect("SETUP")
         for name in names:
             wire.send("TEARDOWN rtsp://media/x RTSP/1.0", name, 2, Reason="cause=41")
-            assert answer(viewer, "TEARDOWN").session == name
+            assert read_answer(viewer, "TEARDOWN").session == name
         for stranger in flood:
             stranger.close()
 
 
 def test_a_session_handed_over_at_a_box_that_is_not_listed_is_over(tmp_path: Path) -> None:
     """Guards against sessions that nothing ends."""
-    with site(tmp_path, 1) as (program, _, _log):
+    with running_program(tmp_path, 1) as (program, _, _log):
         viewer = program.connect()
-        name = ask(viewer, 1, dest="home:0;copies:3;top:1;viewer:aa;at:s-0badbad0")
-        gone = answer(viewer, "TEARDOWN")
+        name = send_set_up(viewer, 1, dest="home:0;copies:3;top:1;viewer:aa;at:s-0badbad0")
+        gone = read_answer(viewer, "TEARDOWN")
         assert (gone.session, gone.headers["reason"]) == (name, "cause=41")
-        ask(viewer, 1)  # its id is free again
-        assert answer(viewer).status == 200
+        send_set_up(viewer, 1)  # its id is free again
+        assert read_answer(viewer).status == 200
 
 
 def test_who_makes_room_is_found_without_a_look_at_all_connections() -> None:
@@ -106,7 +113,7 @@
     assert not holding.gone
 
 
-def raw(wire: Wire, name: str, length: int | str, body: bytes) -> None:
+def raw(wire: RtspConnection, name: str, length: int | str, body: bytes) -> None:
     wire.sock.sendall(
         b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %b\r\nContent-Length: %b\r\n\r\n%b"
         % (name.encode(), str(length).encode(), body)
@@ -126,32 +133,32 @@
 @pytest.mark.parametrize("spoil", SPOILT)
 def test_a_spoilt_answer_costs_its_own_set_up_alone(tmp_path: Path, spoil: Any) -> None:
     """The paid set-up has run, so it fails; the one beside it is served; what stands for none is released."""
-    with site(tmp_path, 1) as (program, pumps, _):
-        pumps[0].script = pumps[0].hold
+    with running_program(tmp_path, 1) as (program, pumps, _):
+        pumps[0].on_set_up = pumps[0].leave_unanswered
         viewer = program.connect()
-        paid, free = ask(viewer, 1, "paid"), ask(viewer, 2)
+        paid, free = send_set_up(viewer, 1, "paid"), send_set_up(viewer, 2)
         at = {message.session: wire for wire, message in (pumps[0].expect("SETUP") for _ in range(2))}
         spoil(at[paid], paid)
-        failed = answer(viewer)
+        failed = read_answer(viewer)
         assert failed.session == paid and failed.status in (500, 504)
         at[free].send("RTSP/1.0 200 OK", free, body=b"made")
-        served = answer(viewer)
+        served = read_answer(viewer)
         assert (served.session, served.status, served.body) == (free, 200, b"made")
         assert pumps[0].expect("TEARDOWN")[1].session == paid
-        assert sorted(pumps[0].setups) == [paid, free]
+        assert sorted(pumps[0].set_up_sessions) == [paid, free]
 
 
 def test_a_line_that_left_a_set_up_unanswered_takes_no_other(tmp_path: Path) -> None:
-    with site(tmp_path, 1) as (program, pumps, _):
-        pumps[0].script = pumps[0].hold
+    with running_program(tmp_path, 1) as (program, pumps, _):
+        pumps[0].on_set_up = pumps[0].leave_unanswered
         viewer = program.connect()
-        ask(viewer, 1, "paid", wait_ms=400)
+        send_set_up(viewer, 1, "paid", wait_ms=400)
         spent, _ = pumps[0].expect("SETUP")
-        assert answer(viewer).status == 504
-        pumps[0].script = pumps[0].accept
+        assert read_answer(viewer).status == 504
+        pumps[0].on_set_up = pumps[0].accept
         for number in range(2, 200):  # until a test has shown that the pump works
-            ask(viewer, number, "paid")
-            if answer(viewer).status == 200:
+            send_set_up(viewer, number, "paid")
+            if read_answer(viewer).status == 200:
                 break
         assert pumps[0].expect("SETUP")[0] is not spent
 
@@ -159,8 +166,8 @@
 def test_a_request_that_no_pump_can_use_keeps_no_other_from_them(tmp_path: Path) -> None:
     """Guards against pumps distrusted for what a bad client asks: the usual ones would be refused."""
 
-    def script(pump: Pump) -> Any:
-        def run(wire: Wire, message: Message) -> None:
+    def script(pump: FakeMediaServer) -> Any:
+        def run(wire: RtspConnection, message: Message) -> None:
             if "unknown" in message.start:
                 wire.send("RTSP/1.0 500 No", message.session)
             else:
@@ -168,13 +175,13 @@
 
         return run
 
-    with site(tmp_path, 3) as (program, pumps, _):
+    with running_program(tmp_path, 3) as (program, pumps, _):
         for pump in pumps:
-            pump.script = script(pump)
+            pump.on_set_up = script(pump)
         viewer = program.connect()
         for number in range(1, 40, 2):
-            ask(viewer, number, "paid" if number % 4 == 1 else "free", title="unknown")
-            assert answer(viewer).status in (500, 503)
-            ask(viewer, number + 1, title=f"title-{number}")
-            assert answer(viewer).status == 200
-        assert sum(len(pump.setups) for pump in pumps) < 20 + 12, "it is not tried over and over"
+            send_set_up(viewer, number, "paid" if number % 4 == 1 else "free", title="unknown")
+            assert read_answer(viewer).status in (500, 503)
+            send_set_up(viewer, number + 1, title=f"title-{number}")
+            assert read_answer(viewer).status == 200
+        assert sum(len(pump.set_up_sessions) for pump in pumps) < 20 + 12, "it is not tried over and over"
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,7 +13,16 @@
 
 import pytest
 
-from cloverhinge.lab.harness import WAIT_S, Message, Program, Wire, answer, ask, ping, site
+from cloverhinge.lab.harness import (
+    TIMEOUT_S,
+    Message,
+    Program,
+    RtspConnection,
+    ping,
+    read_answer,
+    running_program,
+    send_set_up,
+)
 
 ACCEPT_S = 0.9  # longer than requests are accepted after SIGTERM
 EXIT_S = 1.0  # longer than the shutdown takes if no request is open
@@ -30,14 +39,14 @@
     def __init__(self) -> None:
         self.go = threading.Event()
 
-    def __call__(self, wire: Wire, message: Message) -> None:
+    def __call__(self, wire: RtspConnection, message: Message) -> None:
         def late() -> None:
-            self.go.wait(WAIT_S)
+            self.go.wait(TIMEOUT_S)
             wire.send("RTSP/1.0 200 OK", message.session, body=b"made late")
 
         threading.Thread(target=late, daemon=True).start()
 
-    def answer_after_exit_would_come(self, program: Program, client: Wire) -> None:
+    def answer_after_exit_would_come(self, program: Program, client: RtspConnection) -> None:
         """Waits for longer than a program that forgot the request would run, then lets the server answer."""
         select.select([client.sock], [], [], EXIT_S)
         self.go.set()
@@ -45,23 +54,23 @@
 
 @pytest.mark.parametrize("where", ["on an open connection", "on one that waits to be accepted"])
 def test_a_request_read_after_the_time_to_accept_is_answered(tmp_path: Path, where: str) -> None:
-    with site(tmp_path, 1) as (program, servers, _):
-        servers[0].script = delayed = DelayedAnswer()
+    with running_program(tmp_path, 1) as (program, servers, _):
+        servers[0].on_set_up = delayed = DelayedAnswer()
         client = program.connect()
         ping(client)
         begin_shutdown(program)
         program.pause()
         if where != "on an open connection":
             client = program.connect()
-        ask(client, 1)
-        program.go_on_after(ACCEPT_S, client)
+        send_set_up(client, 1)
+        program.resume_after(ACCEPT_S, client)
         delayed.answer_after_exit_would_come(program, client)
-        assert answer(client).status == 200
-        assert program.process.wait(WAIT_S) == 0
+        assert read_answer(client).status == 200
+        assert program.process.wait(TIMEOUT_S) == 0
 
 
 def test_a_request_whose_second_half_arrives_during_shutdown_is_answered(tmp_path: Path) -> None:
-    with site(tmp_path, 1) as (program, _, _log):
+    with running_program(tmp_path, 1) as (program, _, _log):
         client = program.connect()
         ping(client)
         client.sock.sendall(b"SETUP rtsp://media/7f3a")
@@ -72,33 +81,33 @@
             b"X-Ring-Limit: 3000\r\nX-Dest: home:0;copies:3;top:1;viewer:00000000b4d65521\r\n"
             b"Content-Length: 0\r\n\r\n"
         )
-        program.go_on_after(ACCEPT_S, client)
-        assert answer(client).status == 200
-        assert program.process.wait(WAIT_S) == 0
+        program.resume_after(ACCEPT_S, client)
+        assert read_answer(client).status == 200
+        assert program.process.wait(TIMEOUT_S) == 0
 
 
 def test_a_request_that_arrives_with_the_last_awaited_answer_is_answered(tmp_path: Path) -> None:
     """The second request arrives together with the answer to the first, the last that the shutdown awaits."""
-    with site(tmp_path, 1) as (program, servers, _):
+    with running_program(tmp_path, 1) as (program, servers, _):
         first, second = DelayedAnswer(), DelayedAnswer()
-        servers[0].script = first
+        servers[0].on_set_up = first
         client = program.connect()
-        ask(client, 1)
+        send_set_up(client, 1)
         servers[0].expect("SETUP")
-        servers[0].script = second
+        servers[0].on_set_up = second
         begin_shutdown(program)
         program.pause()
         first.go.set()
-        ask(client, 2)
-        program.go_on_after(ACCEPT_S, client)
-        assert answer(client).session == f"{1:016x}"
+        send_set_up(client, 2)
+        program.resume_after(ACCEPT_S, client)
+        assert read_answer(client).session == f"{1:016x}"
         second.answer_after_exit_would_come(program, client)
-        assert answer(client).session == f"{2:016x}"
-        assert program.process.wait(WAIT_S) == 0
+        assert read_answer(client).session == f"{2:016x}"
+        assert program.process.wait(TIMEOUT_S) == 0
 
 
 def test_an_idle_shutdown_takes_a_second_at_most_and_a_second_sigterm_has_no_effect(tmp_path: Path) -> None:
-    with site(tmp_path, 1) as (program, _, _log):
+    with running_program(tmp_path, 1) as (program, _, _log):
         client = program.connect()
         ping(client)
         begin_shutdown(program)
@@ -108,9 +117,9 @@
 
 
 def test_a_client_with_an_incomplete_request_does_not_prevent_the_exit(tmp_path: Path) -> None:
-    with site(tmp_path, 1) as (program, _, _log):
+    with running_program(tmp_path, 1) as (program, _, _log):
         client = program.connect()
         ping(client)
         client.sock.sendall(b"SETUP rtsp://media/7f3a")
         begin_shutdown(program)
-        assert program.process.wait(WAIT_S) == 0
+        assert program.process.wait(TIMEOUT_S) == 0
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -11,7 +11,7 @@
 
 from cloverhinge import site
 from cloverhinge.core.config_values import ConfigError
-from cloverhinge.lab.harness import ROOT, WAIT_S
+from cloverhinge.lab.harness import ROOT, TIMEOUT_S
 
 KEY = "k" * 32
 HLS = f'[hls]\nlisten = "127.0.0.1:0"\nkey = "{KEY}"\n'
@@ -107,7 +107,7 @@
         " 'cloverhinge.emulator'))])"
     )
     done = subprocess.run(
-        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=WAIT_S
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S
     )
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cloverhinge.lab.harness import ROOT, SETTINGS, ChangeLog, Program
+from cloverhinge.lab.harness import ROOT, SETTINGS, FakeChangeLog, Program
 
 SITES = sorted((ROOT / "deploy/sites").glob("*.toml"))
 EFFECTS = {"safe": "repeatable", "unsafe": "once"}
@@ -68,8 +68,8 @@
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site.stem)
 def test_the_settings_of_each_deployment_are_read(site: Path, tmp_path: Path) -> None:
     settings = settings_of(read(site))
-    log = ChangeLog()
-    known = {"seq": 1, "results": [log.event([], full=True)]}
+    log = FakeChangeLog()
+    known = {"seq": 1, "results": [log.append_event([], full=True)]}
     config = tmp_path / "config.json"
     config.write_text(json.dumps(Program.configuration("n0", log, known, **settings)))
     log.stop()
