--- a/cloverhinge/emulator/__init__.py
+++ b/cloverhinge/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""A model of routers, the network between them and its faults, in virtual time from one seed.
+"""Simulates routers and the network between them, with faults, in virtual time from one seed.
 
-Runs the product's pure parts as they are.  A tool beside the product, which never imports it.
+Runs the product's I/O-free components unchanged.  Test tooling: the product never imports it.
 """
--- a/cloverhinge/emulator/disks.py
+++ b/cloverhinge/emulator/disks.py
@@ -1,4 +1,4 @@
-"""A router's folder in virtual time: commits take a while, a kill leaves some of those under way."""
+"""A simulated store of a router: commits take time, and a crash keeps only some of those in progress."""
 
 from __future__ import annotations
 
@@ -12,53 +12,58 @@
 
 @dataclass
 class Disk:
-    """`sync_ms`: the longest that a commit takes."""
+    """The store of one router; a commit takes up to `sync_ms`."""
 
     random: random.Random
     sync_ms: float = 8.0
     rows: dict[str, bytes] = field(default_factory=dict)
     mark: Mark = NO_MARK
-    broken: bool = False  # from now on no commit succeeds
-    pending: deque[tuple[Persist, float]] = field(default_factory=deque)  # with the time at which it is safe
+    broken: bool = False  # no commit succeeds any more
+    pending: deque[tuple[Persist, float]] = field(default_factory=deque)  # writes, and when they are durable
 
     def open(self) -> tuple[Mark, Mark]:
-        """The mark as it was found, and that of this start."""
-        claim = self.mark
-        self.mark = Mark(claim.generation + 1, claim.position + 1)
-        return claim, self.mark
+        """Opens the store; returns the mark found and the mark of the new start."""
+        found = self.mark
+        self.mark = Mark(found.generation + 1, found.position + 1)
+        return found, self.mark
 
-    def write(self, now: float, rows: Persist) -> float:
-        """When it is safe: with the group that begins once the one under way is."""
-        under_way = self.pending[0][1] if self.pending else now
-        if not self.pending or self.pending[-1][1] == under_way:
-            ends = under_way + self.random.uniform(0.2, 1.0) * self.sync_ms
+    def write(self, now: float, persist: Persist) -> float:
+        """Queues a write and returns when it is durable.
+
+        It joins the group that is committed after the one in progress.
+        """
+        in_progress = self.pending[0][1] if self.pending else now
+        if not self.pending or self.pending[-1][1] == in_progress:
+            durable_ms = in_progress + self.random.uniform(0.2, 1.0) * self.sync_ms
         else:
-            ends = self.pending[-1][1]
-        self.pending.append((rows, ends))
-        return ends
+            durable_ms = self.pending[-1][1]
+        self.pending.append((persist, durable_ms))
+        return durable_ms
 
     def commit(self) -> Persist | None:
-        """The first of those under way is safe now, if it is."""
+        """Applies the first queued write; returns None where there is none or the store is broken."""
         if self.broken or not self.pending:
             return None
-        rows = self.pending.popleft()[0]
-        if rows.void:
+        persist = self.pending.popleft()[0]
+        if persist.void:
             self.rows = {}
             self.mark = Mark(self.mark.generation + 1, self.mark.position)
-        for key, value in rows.rows.items():
+        for key, value in persist.rows.items():
             if value is None:
                 self.rows.pop(key, None)
             else:
                 self.rows[key] = value
         self.mark = Mark(self.mark.generation, self.mark.position + 1)
-        if rows.above >= self.mark:
-            self.mark = Mark(rows.above.generation + 1, self.mark.position)
-        return rows
+        if persist.above >= self.mark:
+            self.mark = Mark(persist.above.generation + 1, self.mark.position)
+        return persist
 
     def crash(self) -> None:
+        """Commits a random number of the queued writes, in order, and loses the others."""
         for _ in range(self.random.randint(0, len(self.pending))):
             self.commit()
         self.pending.clear()
 
     def copy(self) -> Disk:
+        """A copy of the committed state."""
         return Disk(self.random, self.sync_ms, dict(self.rows), self.mark)
--- a/cloverhinge/emulator/network.py
+++ b/cloverhinge/emulator/network.py
@@ -1,6 +1,6 @@
-"""Processes and the messages between them in virtual time: delay, loss, cuts, pauses, crashes, restarts.
+"""Simulates processes and messages in virtual time, with delay, loss, cuts, pauses, crashes and restarts.
 
-One heap of events from one seed: the same seed gives the same run.
+All events are in one heap and all random draws come from one seed, so the same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkConditions:
-    """One direction between two processes.  Shares are of messages, times in ms."""
+    """The state of one direction between two processes; shares are of messages."""
 
     delay_ms: float = 0.2
     jitter_ms: float = 0.2
-    loss: float = 0.0
-    twice: float = 0.0  # share that comes twice
-    late: float = 0.0  # share that comes up to `late_ms` later, so behind others
+    loss: float = 0.0  # share lost
+    twice: float = 0.0  # share delivered twice
+    late: float = 0.0  # share delayed by up to `late_ms` more, so that others overtake it
     late_ms: float = 500.0
     cut: bool = False
 
 
 class Process:
-    """What runs at an address.  While paused, all that comes to it waits, its timers too."""
+    """The process at an address.  While it is paused, its events are queued, timers included."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -36,6 +36,7 @@
         self.queued: list[Callable[[], None]] = []
 
     def run(self, call: Callable[[], None]) -> None:
+        """Runs an event now, queues it while paused, and drops it once killed."""
         if self.alive:
             if self.paused:
                 self.queued.append(call)
@@ -44,7 +45,9 @@
 
 
 class Network:
-    MAX_QUEUED_EVENTS = 4096  # events kept for a process that is paused: a socket's buffer is no larger
+    """Processes by address, the conditions between them, and the heap of events; `now` is in ms."""
+
+    MAX_QUEUED_EVENTS = 4096  # messages to a paused process beyond it are lost, as in a socket's buffer
 
     def __init__(self, seed: int, conditions: LinkConditions | None = None) -> None:
         self.random = random.Random(seed)
@@ -57,66 +60,82 @@
         self.messages = 0
         self.bytes = 0
 
-    def conditions_between(self, sender: Address, to: Address) -> LinkConditions:
-        return self.conditions.get((sender, to), self.default_conditions)
+    def conditions_between(self, sender: Address, receiver: Address) -> LinkConditions:
+        """The present conditions of one direction."""
+        return self.conditions.get((sender, receiver), self.default_conditions)
 
-    def change(self, sender: Address, to: Address, **changed: Any) -> None:
-        self.conditions[sender, to] = replace(self.conditions_between(sender, to), **changed)
+    def change(self, sender: Address, receiver: Address, **changed: Any) -> None:
+        """Sets fields of the conditions of one direction."""
+        self.conditions[sender, receiver] = replace(self.conditions_between(sender, receiver), **changed)
 
-    def cut(self, some: list[Address], others: list[Address], both: bool = True) -> None:
-        for one in some:
-            for other in others:
-                self.change(one, other, cut=True)
+    def cut(self, senders: list[Address], receivers: list[Address], both: bool = True) -> None:
+        """Cuts each of `senders` off from each of `receivers`, by default in both directions."""
+        for sender in senders:
+            for receiver in receivers:
+                self.change(sender, receiver, cut=True)
                 if both:
-                    self.change(other, one, cut=True)
+                    self.change(receiver, sender, cut=True)
 
     def heal(self) -> None:
+        """Removes the conditions of single directions; the default ones stay."""
         self.conditions.clear()
 
-    def schedule(self, ms: float, call: Callable[[], None]) -> None:
-        """In `ms` from now."""
+    def schedule(self, delay_ms: float, call: Callable[[], None]) -> None:
+        """Schedules a call in `delay_ms` from now."""
         self._count += 1
-        heapq.heappush(self._heap, (self.now + ms, self._count, call))
+        heapq.heappush(self._heap, (self.now + delay_ms, self._count, call))
 
-    def timer(self, process: Process, ms: float, call: Callable[[], None]) -> None:
-        self.schedule(ms, lambda: process.run(call))
+    def timer(self, process: Process, delay_ms: float, call: Callable[[], None]) -> None:
+        """Schedules an event of a process in `delay_ms` from now."""
+        self.schedule(delay_ms, lambda: process.run(call))
 
     def send(
-        self, sender: Address, to: Address, size: int, deliver: Callable[[], None], reliable: bool = False
+        self,
+        sender: Address,
+        receiver: Address,
+        size: int,
+        deliver: Callable[[], None],
+        reliable: bool = False,
     ) -> bool:
-        """Whether anything is on its way.  Over a connection nothing is lost, but a cut stops it."""
-        way = self.conditions_between(sender, to)
+        """Sends a message; `deliver` is called on its arrival.  Returns False where it is lost.
+
+        With `reliable`, as over a connection, a loss only delays it, but a cut still stops it.
+        """
+        conditions = self.conditions_between(sender, receiver)
         self.messages += 1
         self.bytes += size
-        if way.cut or not reliable and self.random.random() < way.loss:
+        if conditions.cut or not reliable and self.random.random() < conditions.loss:
             return False
-        times = 2 if not reliable and self.random.random() < way.twice else 1
-        for _ in range(times):
-            delay = way.delay_ms + self.random.random() * way.jitter_ms
-            if reliable and way.loss:  # the kernel sends again, after 200 ms at first (RFC 6298)
-                while self.random.random() < way.loss and delay < 10_000.0:
+        copies = 2 if not reliable and self.random.random() < conditions.twice else 1
+        for _ in range(copies):
+            delay = conditions.delay_ms + self.random.random() * conditions.jitter_ms
+            if reliable and conditions.loss:  # TCP retransmits after 200 ms, then with backoff (RFC 6298)
+                while self.random.random() < conditions.loss and delay < 10_000.0:
                     delay += 200.0 + delay
-            elif self.random.random() < way.late:
-                delay += self.random.random() * way.late_ms
-            self.schedule(delay, lambda: self._arrive(to, deliver))
+            elif self.random.random() < conditions.late:
+                delay += self.random.random() * conditions.late_ms
+            self.schedule(delay, lambda: self._arrive(receiver, deliver))
         return True
 
-    def _arrive(self, to: Address, deliver: Callable[[], None]) -> None:
-        process = self.processes.get(to)
+    def _arrive(self, receiver: Address, deliver: Callable[[], None]) -> None:
+        process = self.processes.get(receiver)
         if process is not None and (not process.paused or len(process.queued) < self.MAX_QUEUED_EVENTS):
             process.run(deliver)
 
     def pause(self, process: Process) -> None:
+        """Pauses a process as by SIGSTOP."""
         process.paused = True
 
     def resume(self, process: Process) -> None:
+        """Resumes a paused process and runs the events queued meanwhile."""
         process.paused = False
-        waiting, process.queued = process.queued, []
-        for call in waiting:
+        queued, process.queued = process.queued, []
+        for call in queued:
             process.run(call)
 
-    def run(self, ms: float) -> None:
-        until = self.now + ms
+    def run(self, duration_ms: float) -> None:
+        """Advances the time, running all events that are due."""
+        until = self.now + duration_ms
         while self._heap and self._heap[0][0] <= until:
             self.now, _, call = heapq.heappop(self._heap)
             call()
--- a/cloverhinge/emulator/ownership_world.py
+++ b/cloverhinge/emulator/ownership_world.py
@@ -1,7 +1,8 @@
-"""Custody on the modelled network: routers with viewers and boxes in outline, and the promises checked.
+"""Ownership on the simulated network, with simplified viewers and media servers, and checks of guarantees.
 
-Boxes take set-ups after a delay and note who sent them; a viewer is a claim at one router, and comes again at
-another where it heard nothing.  What is checked holds for every schedule of kills, pauses, cuts and losses.
+Media servers establish set-ups after a delay and record who sent them.  A viewer is one claim at a router; it
+retries at another router where it got no answer.  The checks hold for every schedule of kills, pauses, cuts
+and losses.
 """
 
 from __future__ import annotations
@@ -30,23 +31,25 @@
 from cloverhinge.ownership.register import Phase
 from cloverhinge.ownership.wire import Member
 
-SET_UP_MS = 80.0  # from a set-up's first byte to its answer
-CONNECT_MS = 5.0  # between the intent and the first byte
-CLIENT_WAIT_MS = 3000.0  # that a viewer waits
-MAX_ANSWER_DELAY_MS = 250.0  # that an answer waits for the keepers at the most
+SET_UP_MS = 80.0  # from the first byte of a set-up to its answer
+CONNECT_MS = 5.0  # between the prepared record and the first byte
+CLIENT_WAIT_MS = 3000.0  # how long a viewer waits
+MAX_ANSWER_DELAY_MS = 250.0  # bounds how long an answer waits for the replicas
 
 
 @dataclass
 class Session:
-    """What the boxes know of one piece of work."""
+    """What the media servers know of one session."""
 
-    sent: list[tuple[float, str]] = field(default_factory=list)  # when, and by which router's run
+    sent: list[tuple[float, str]] = field(default_factory=list)  # time, and member id of the sender
     established: bool = False
     released: list[str] = field(default_factory=list)
 
 
 @dataclass
 class Fetch:
+    """One request of a viewer at a router; `answer` is empty until it has been answered."""
+
     id: str
     router: str
     asked_ms: float
@@ -55,24 +58,24 @@
 
 
 class OwnershipRouter(Router):
-    """A router with custody; `session` is what its front holds."""
+    """A router with ownership; `sessions` is the state of its front by session id."""
 
     world: OwnershipWorld
     ownership: OwnershipCore
 
     def start(self) -> None:
         super().start()
-        self.sessions: dict[str, str] = {}  # id to open or stands
+        self.sessions: dict[str, str] = {}  # by id: open or stands
         self.claims: dict[int, Fetch] = {}
         self.last_claim = 0
         self.known_members: tuple[object, ...] = ()
         own = Member(self.name, self.members.run, self.site)
         rules = replace(self.world.ownership_rules, routers=self.world.count)
-        recall = None
+        persistence = None
         if self.world.stores:
             self.disk = self.world.disks.setdefault(self.name, Disk(self.world.net.random))
-            recall = ReplicaPersistence.from_folder(own, *self.disk.open(), self.disk.rows)
-        self.ownership = OwnershipCore(own, rules, self.members.run, recall)
+            persistence = ReplicaPersistence.from_folder(own, *self.disk.open(), self.disk.rows)
+        self.ownership = OwnershipCore(own, rules, self.members.run, persistence)
         self.world.net.timer(self.process, self.world.net.random.uniform(0.0, TICK_MS), self._tick_ownership)
 
     def kill(self) -> None:
@@ -87,12 +90,13 @@
     def _write(self, rows: Persist) -> None:
         process, disk = self.process, self.disk
 
-        def safe() -> None:
-            if process.alive and disk.commit() is not None:  # the disk goes on while the process is paused
+        def durable() -> None:
+            # A commit completes even while the process is paused.
+            if process.alive and disk.commit() is not None:
                 number, mark = rows.number, disk.mark
                 process.run(lambda: self.perform_ownership(self.ownership.on_durable(self.now, number, mark)))
 
-        self.world.net.schedule(disk.write(self.now, rows) - self.now, safe)
+        self.world.net.schedule(disk.write(self.now, rows) - self.now, durable)
 
     def _tick_ownership(self) -> None:
         records = self.members.table.records
@@ -113,7 +117,7 @@
         )
 
     def fetch(self, id: str, paid: bool = True) -> Fetch:
-        """A viewer comes here."""
+        """Sends the request of a viewer to this router."""
         fetch = Fetch(id, self.name, self.now)
         self.world.fetches.append(fetch)
         self.process.run(lambda: self._fetch(fetch, paid))
@@ -168,7 +172,7 @@
     def _answer(self, fetch: Fetch, verdict: Verdict) -> None:
         match verdict:
             case Verdict.NEW:
-                if fetch.id in self.sessions:  # under way for an earlier fetch: it waits with that one
+                if fetch.id in self.sessions:  # in progress for an earlier fetch; both get the same answer
                     self.world.waiting.setdefault((self.ownership.own_id, fetch.id), []).append(fetch)
                 else:
                     self.sessions[fetch.id] = "open"
@@ -182,7 +186,7 @@
                 self.world.answer(fetch, "refused")
 
     def _send(self, id: str) -> None:
-        """The connection to the box stands: the last look before the first byte."""
+        """Sends the set-up once connected, after the last check of ownership before the first byte."""
         if self.sessions.get(id) != "open" or not self.ownership.may_act(id, self.now):
             if self.sessions.get(id) == "open":
                 del self.sessions[id]
@@ -190,7 +194,7 @@
             return
         session = self.world.session(id)
         session.sent.append((self.now, self.ownership.own_id))
-        # The box takes it whatever becomes of the router, which may hear of it late.
+        # The server establishes it whatever happens to the router, which may read the answer late.
         self.world.net.schedule(SET_UP_MS / 2, lambda: setattr(session, "established", not session.released))
         self.world.net.timer(self.process, SET_UP_MS, lambda: self._established(id))
 
@@ -211,7 +215,7 @@
 
 @dataclass
 class OwnershipWorld(World):
-    """`count` routers that keep each other's work."""
+    """`count` routers that replicate each other's sessions; with `stores` each has a simulated store."""
 
     ownership_rules: Rules = field(default_factory=Rules)
     stores: bool = False
@@ -222,37 +226,41 @@
 
     def make_router(self, name: str, site: str, address: Address, join: tuple[Address, ...]) -> Router:
         router = OwnershipRouter(self, name, site, address, join)
-        router.process.alive = False  # until it is started
+        router.process.alive = False  # until `start`
         return router
 
     @property
     def ownership_routers(self) -> list[OwnershipRouter]:
+        """All routers, by their type here."""
         return [x for x in self.routers if isinstance(x, OwnershipRouter)]
 
     def answer(self, fetch: Fetch, answer: str) -> None:
+        """Records the answer to a viewer."""
         fetch.answer, fetch.answered_ms = answer, self.net.now
 
     def session(self, id: str) -> Session:
+        """The session of this id, created where there is none yet."""
         return self.sessions.setdefault(id, Session())
 
     @property
     def replica_set_agreed(self) -> bool:
-        """All that run hold one roster of just them, and vote."""
-        here = [x for x in self.ownership_routers if x.running]
-        rosters = [x.ownership.replica_sets for x in here]
-        runs = sorted(x.ownership.own_id for x in here)
+        """Whether all running routers hold one replica set of exactly them, and vote in it."""
+        running = [x for x in self.ownership_routers if x.running]
+        replica_sets = [x.ownership.replica_sets for x in running]
+        runs = sorted(x.ownership.own_id for x in running)
         return all(
             x.current is not None
             and x.active
             and [m.member_id for m in x.current.members] == runs
-            and x.current == rosters[0].current
-            for x in rosters
+            and x.current == replica_sets[0].current
+            for x in replica_sets
         )
 
     def run_until_replica_set_agreed(self, max_ms: float = 20_000.0) -> float:
-        begun = self.net.now
+        """Runs until `replica_set_agreed` and returns the time in ms; AssertionError after `max_ms`."""
+        started_ms = self.net.now
         while not self.replica_set_agreed:
-            if self.net.now - begun > max_ms:
+            if self.net.now - started_ms > max_ms:
                 raise AssertionError(
                     "\n".join(
                         f"{x.name}: {x.ownership.replica_sets.current} "
@@ -262,19 +270,20 @@
                     )
                 )
             self.net.run(25.0)
-        return self.net.now - begun
+        return self.net.now - started_ms
 
     def owners(self, id: str) -> list[str]:
+        """Names of the running routers that serve this session."""
         return [x.name for x in self.ownership_routers if x.running and x.sessions.get(id) == "stands"]
 
     def violations(self) -> list[str]:
-        """Promises on paid work that do not hold, for the record so far."""
+        """Violated guarantees of paid sessions so far: set up at most once, and not served once failed."""
         found = []
         for id, session in self.sessions.items():
             if len(session.sent) > 1:
                 found.append(f"{id} was set up {len(session.sent)} times: {session.sent}")
         failed: dict[str, float] = {}
-        served: set[tuple[str, str]] = set()  # a router that served it before may not know yet
+        served: set[tuple[str, str]] = set()  # a router that served it may not know of its end yet
         for fetch in sorted(self.fetches, key=lambda x: x.answered_ms):
             if fetch.answer == "failed":
                 failed.setdefault(fetch.id, fetch.answered_ms)
@@ -294,7 +303,7 @@
         return found
 
     def unowned(self) -> list[str]:
-        """Sessions that stand at a box and have no owner, or two, among those that run."""
+        """Sessions established at a media server that do not have exactly one running owner."""
         return [
             f"{id}: {self.owners(id)}"
             for id, session in self.sessions.items()
@@ -303,79 +312,86 @@
 
 
 def random_fault_run(seed: int, span_ms: float = 60_000.0, stores: bool = False) -> OwnershipWorld:
-    """A run under random kills, pauses, cuts and losses, ended whole: all run, and hold one roster.
+    """Runs random kills, pauses, cuts and losses; at the end all routers run and hold one replica set.
 
-    Within what is promised: fewer than half of the routers are lost between two rosters that all hold.  With
-    stores any number are killed, and fewer than half of the stores are lost, or put back as they once were.
+    The faults stay within what ownership tolerates.  Without stores fewer than half of the routers are killed
+    between two replica sets that all hold.  With stores any number are killed, and fewer than half of the
+    stores are lost or replaced by an older copy of themselves.
     """
-    draw = random.Random(seed)
-    count = draw.choice((3, 5, 5, 7))
-    world = OwnershipWorld(count, seed, sites=draw.choice((1, 2, 3)), stores=stores)
+    rng = random.Random(seed)
+    count = rng.choice((3, 5, 5, 7))
+    world = OwnershipWorld(count, seed, sites=rng.choice((1, 2, 3)), stores=stores)
     world.start(3000.0)
     world.run_until_replica_set_agreed()
-    net, until, most = world.net, world.net.now + span_ms, (count - 1) // 2
-    paused: dict[int, float] = {}
-    dead: dict[int, float] = {}
-    lost = plays = voided = 0
+    net, until, max_lost = world.net, world.net.now + span_ms, (count - 1) // 2
+    resume_at: dict[int, float] = {}
+    restart_at: dict[int, float] = {}
+    routers_lost = plays = stores_lost = 0
     copies: dict[int, Disk] = {}
     while net.now < until:
-        net.run(draw.expovariate(1 / 150.0))
-        for at in [x for x, when in paused.items() if net.now >= when]:
+        net.run(rng.expovariate(1 / 150.0))
+        for at in [x for x, when in resume_at.items() if net.now >= when]:
             net.resume(world.routers[at].process)
-            del paused[at]
-        for at in [x for x, when in dead.items() if net.now >= when]:
+            del resume_at[at]
+        for at in [x for x, when in restart_at.items() if net.now >= when]:
             world.routers[at].start()
-            del dead[at]
-        here = [x for x in range(count) if x not in dead and x not in paused]
-        dice = draw.random()
-        if dice < 0.60 and here:
-            again = plays > 0 and draw.random() < 0.5
-            play = draw.randrange(max(0, plays - 40), plays) if again else plays
+            del restart_at[at]
+        running = [x for x in range(count) if x not in restart_at and x not in resume_at]
+        choice = rng.random()
+        if choice < 0.60 and running:
+            known_play = plays > 0 and rng.random() < 0.5
+            play = rng.randrange(max(0, plays - 40), plays) if known_play else plays
             plays = max(plays, play + 1)
-            world.ownership_routers[draw.choice(here)].fetch(f"p{play}")
-        elif dice < 0.63 and here and stores:
-            for at in draw.sample(here, min(len(here), draw.choice((1, 1, 2, count)))):
+            world.ownership_routers[rng.choice(running)].fetch(f"p{play}")
+        elif choice < 0.63 and running and stores:
+            for at in rng.sample(running, min(len(running), rng.choice((1, 1, 2, count)))):
                 world.routers[at].kill()
-                dead[at] = net.now + draw.choice((draw.uniform(200.0, 3000.0), draw.uniform(200.0, 15_000.0)))
-        elif dice < 0.64 and stores and (voided < most or len(here) == count and world.replica_set_agreed):
-            voided = 1 if len(here) == count and world.replica_set_agreed else voided + 1
-            at = draw.randrange(count)
+                restart_at[at] = net.now + rng.choice(
+                    (rng.uniform(200.0, 3000.0), rng.uniform(200.0, 15_000.0))
+                )
+        elif (
+            choice < 0.64
+            and stores
+            and (stores_lost < max_lost or len(running) == count and world.replica_set_agreed)
+        ):
+            stores_lost = 1 if len(running) == count and world.replica_set_agreed else stores_lost + 1
+            at = rng.randrange(count)
             name = world.routers[at].name
-            if at in dead:
+            if at in restart_at:
                 empty = Disk(net.random)
-                world.disks[name] = copies.get(at, empty) if draw.random() < 0.5 else empty
+                world.disks[name] = copies.get(at, empty) if rng.random() < 0.5 else empty
             else:
                 copies[at] = world.disks[name].copy()
         elif (
-            dice < 0.63
-            and here
-            and len(dead) < most
-            and (lost < most or len(here) == count and world.replica_set_agreed)
+            choice < 0.63
+            and running
+            and len(restart_at) < max_lost
+            and (routers_lost < max_lost or len(running) == count and world.replica_set_agreed)
         ):
-            lost = 1 if len(here) == count and world.replica_set_agreed else lost + 1
-            at = draw.choice(here)
+            routers_lost = 1 if len(running) == count and world.replica_set_agreed else routers_lost + 1
+            at = rng.choice(running)
             world.routers[at].kill()
-            dead[at] = net.now + draw.uniform(200.0, 15_000.0)
-        elif dice < 0.68 and here:
-            at = draw.choice(here)
+            restart_at[at] = net.now + rng.uniform(200.0, 15_000.0)
+        elif choice < 0.68 and running:
+            at = rng.choice(running)
             net.pause(world.routers[at].process)
-            paused[at] = net.now + draw.choice((draw.uniform(50.0, 2000.0), draw.uniform(2000.0, 10_000.0)))
-        elif dice < 0.72:
-            some = draw.sample(world.routers, draw.randint(1, count // 2))
+            resume_at[at] = net.now + rng.choice((rng.uniform(50.0, 2000.0), rng.uniform(2000.0, 10_000.0)))
+        elif choice < 0.72:
+            some = rng.sample(world.routers, rng.randint(1, count // 2))
             net.cut(
                 [x.address for x in some],
                 [x.address for x in world.routers if x not in some],
-                both=draw.random() < 0.5,
+                both=rng.random() < 0.5,
             )
-        elif dice < 0.75:
+        elif choice < 0.75:
             net.heal()
-        elif dice < 0.77:
-            net.default_conditions = LinkConditions(loss=draw.choice((0.0, 0.1, 0.3)), twice=0.1, late=0.1)
+        elif choice < 0.77:
+            net.default_conditions = LinkConditions(loss=rng.choice((0.0, 0.1, 0.3)), twice=0.1, late=0.1)
     net.heal()
     net.default_conditions = LinkConditions()
-    for at in paused:
+    for at in resume_at:
         net.resume(world.routers[at].process)
-    for at in dead:
+    for at in restart_at:
         world.routers[at].start()
     world.run_until_replica_set_agreed(30_000.0)
     net.run(12_000.0)
--- a/cloverhinge/emulator/routers.py
+++ b/cloverhinge/emulator/routers.py
@@ -1,4 +1,4 @@
-"""Routers' membership on the modelled network, with the checks that hold for every schedule."""
+"""Router membership on the simulated network, and checks of agreement between the routers."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from cloverhinge.members import core, wire
 from cloverhinge.members.watch import watch_relations
 
-CONNECT_TIMEOUT_MS = 1000.0  # a connection that nobody answers is given up after so long
+CONNECT_TIMEOUT_MS = 1000.0  # after which an unanswered connection attempt has failed
 
 
 @dataclass
 class ObservedChange:
-    """One change that one member told of."""
+    """A membership change as one router observed it."""
 
     at_ms: float
     observer: str
@@ -23,7 +23,7 @@
 
 
 class Router:
-    """One process with its membership; `start` begins a new run under the same name."""
+    """One simulated router process with its membership component."""
 
     def __init__(
         self, world: World, name: str, site: str, address: Address, join: tuple[Address, ...]
@@ -37,9 +37,11 @@
 
     @property
     def running(self) -> bool:
+        """Whether the process is alive and not paused."""
         return self.process.alive and not self.process.paused
 
     def start(self) -> None:
+        """Starts a new run under the same name."""
         net = self.world.net
         self.process = net.processes[self.address] = Process(self.address)
         run = net.random.getrandbits(62)
@@ -54,22 +56,29 @@
         self.world.net.timer(self.process, core.TICK_MS, self._tick)
 
     def kill(self) -> None:
+        """Ends the process without notice to others."""
         self.process.alive = False
 
     def receive_component_message(self, message: core.ComponentMessageReceived) -> None:
-        """For the parts that a world builds on membership."""
+        """Receives a message for a component on top of membership; subclasses override it."""
 
     def perform(
         self, actions: list[core.Action], reply_address: Address | None = None, reliable: bool = False
     ) -> None:
+        """Performs the actions of the membership core.
+
+        `reply_address` receives messages that name no address; `reliable` sends all as over a connection.
+        """
         net = self.world.net
         for action in actions:
             match action:
                 case core.Send():
-                    to = action.address or reply_address
-                    assert to is not None
+                    receiver = action.address or reply_address
+                    assert receiver is not None
                     body = wire.encode(action.message)
-                    self.send(to, body, reliable or wire.HEADER_BYTES + len(body) > wire.MAX_DATAGRAM_BYTES)
+                    self.send(
+                        receiver, body, reliable or wire.HEADER_BYTES + len(body) > wire.MAX_DATAGRAM_BYTES
+                    )
                 case core.ConnectProbe():
                     self.connect_probe(action)
                 case core.ProcessPaused():
@@ -84,6 +93,7 @@
                     self.receive_component_message(action)
 
     def send(self, to: Address, body: bytes, reliable: bool = False) -> None:
+        """Sends an encoded message to another router."""
         self.world.net.send(
             self.address,
             to,
@@ -93,13 +103,16 @@
         )
 
     def connect_probe(self, probe: core.ConnectProbe) -> None:
-        """A connection: refused where no process is, else asked; its end is told in any case."""
-        net, sent, process = self.world.net, self.world.net.now, self.process
+        """Probes a member over a connection, which is refused where no process runs.
+
+        The membership core is told how the attempt ended in any case.
+        """
+        net, sent_ms, process = self.world.net, self.world.net.now, self.process
 
-        def over(refused: bool) -> None:
+        def ended(refused: bool) -> None:
             process.run(
                 lambda: self.perform(
-                    self.members.connect_ended(net.now, probe.name, probe.run, sent, refused)
+                    self.members.connect_ended(net.now, probe.name, probe.run, sent_ms, refused)
                 )
             )
 
@@ -107,18 +120,18 @@
             net.conditions_between(self.address, probe.address).cut
             or net.conditions_between(probe.address, self.address).cut
         )
-        there = net.processes.get(probe.address)
-        if not cut and (there is None or not there.alive):
-            net.schedule(net.default_conditions.delay_ms * 2, lambda: over(True))
+        process_there = net.processes.get(probe.address)
+        if not cut and (process_there is None or not process_there.alive):
+            net.schedule(net.default_conditions.delay_ms * 2, lambda: ended(True))
             return
         if not cut:
             self.send(probe.address, wire.encode(probe.message), reliable=True)
-        net.schedule(CONNECT_TIMEOUT_MS, lambda: over(False))
+        net.schedule(CONNECT_TIMEOUT_MS, lambda: ended(False))
 
 
 @dataclass
 class World:
-    """`count` routers, each at an address of its own, in `sites` sites by turns."""
+    """`count` routers, spread evenly over `sites` sites, on one simulated network."""
 
     count: int
     seed: int
@@ -138,10 +151,11 @@
         ]
 
     def make_router(self, name: str, site: str, address: Address, join: tuple[Address, ...]) -> Router:
+        """Creates a router; subclasses override it."""
         return Router(self, name, site, address, join)
 
     def start_joined(self) -> None:
-        """As after a long quiet time: all know all, and have just been heard."""
+        """Starts all routers as if they had been members for long, each known to all and just reached."""
         pairs = watch_relations(tuple(sorted(x.name for x in self.routers)), self.rules.watch)
         for router in self.routers:
             router.join = ()
@@ -166,22 +180,25 @@
             router.perform(members.tick(self.net.now))
 
     def deliver(self, to: Address, body: bytes, sender: Address, reliable: bool) -> None:
+        """Passes a message that has arrived to its router and performs the actions."""
         router = self.by_address[to]
         router.perform(router.members.receive(self.net.now, wire.decode(body), sender), sender, reliable)
 
     @property
     def by_address(self) -> dict[Address, Router]:
+        """The routers by their addresses."""
         if not hasattr(self, "_by_address"):
             self._by_address = {router.address: router for router in self.routers}
         return self._by_address
 
     def start(self, settle_ms: float = 5000.0) -> None:
+        """Starts all routers and runs for `settle_ms`."""
         for router in self.routers:
             router.start()
         self.net.run(settle_ms)
 
     def agreed(self, routers: list[Router] | None = None) -> bool:
-        """Whether all of these hold one view, and that view is these and no others."""
+        """Whether these routers, by default all that run, hold one view with exactly them as members."""
         routers = [x for x in self.routers if x.running] if routers is None else routers
         names = tuple(sorted(x.name for x in routers))
         views = [x.members.view() for x in routers]
@@ -190,15 +207,16 @@
     def run_until_agreed(
         self, max_ms: float, routers: list[Router] | None = None, step_ms: float = 50.0
     ) -> float:
-        """How long until all hold one view; raises where it takes longer than `most_ms`."""
-        begun = self.net.now
+        """Runs until `agreed` and returns the time in ms; AssertionError with the views after `max_ms`."""
+        started_ms = self.net.now
         while not self.agreed(routers):
-            if self.net.now - begun > max_ms:
+            if self.net.now - started_ms > max_ms:
                 raise AssertionError(
                     "\n".join(f"{x.name}: {x.members.view()}" for x in routers or self.routers if x.running)
                 )
             self.net.run(step_ms)
-        return self.net.now - begun
+        return self.net.now - started_ms
 
     def changes_of(self, change: str, since_ms: float = 0.0) -> list[ObservedChange]:
+        """The observed changes of one kind, such as `dead`, at or after `since_ms`."""
         return [x for x in self.changes if x.change.change == change and x.at_ms >= since_ms]
--- a/cloverhinge/lab/__init__.py
+++ b/cloverhinge/lab/__init__.py
@@ -1,4 +1,4 @@
-"""Real processes of the program on loopback, stand-ins for what they talk to, and faults between them.
+"""Runs real router processes on loopback against fake peers, with injected network and process faults.
 
-A tool beside the product, which never imports it; may use all of the product and emulator/.
+Test tooling: the product never imports it.  It may import all of the product and `emulator/`.
 """
--- a/cloverhinge/lab/checks.py
+++ b/cloverhinge/lab/checks.py
@@ -1,4 +1,4 @@
-"""What must hold of every run, read from its record afterwards; each check gives the broken promises."""
+"""Checks of membership that hold for every run, made on its record; each returns the violations as texts."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from cloverhinge.lab.record import Event, Record
 
-DELIVERY_GRACE_MS = 4000.0  # a cut's or a pause's word may still be on its way so long after its end
+DELIVERY_GRACE_MS = 4000.0  # a death caused by a cut or a pause may be reported this long after its end
 FOREVER = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What happened to a router, or to one of its ways, and for how long."""
+    """A fault of a router or of its connections, and its duration."""
 
     router: str
     kind: str  # ended, paused, cut
@@ -22,53 +22,57 @@
 
 
 def faults_of(record: Record) -> list[Fault]:
-    """The faults of a run by router, from what the rig and the hub did."""
+    """The faults of a run, from the events of the rig and the hub; a cut counts for both of its ends."""
     found: list[Fault] = []
     ended: dict[str, float] = {}
     paused: dict[str, float] = {}
     cut: dict[str, float] = {}
     for event in list(record.events):
-        told = event.details
-        if event.kind == "fault" and told.get("signal") in ("SIGKILL", "SIGTERM"):
+        details = event.details
+        if event.kind == "fault" and details.get("signal") in ("SIGKILL", "SIGTERM"):
             ended[event.source] = event.ms
         elif event.kind == "started" and event.source in ended:
             found.append(Fault(event.source, "ended", ended.pop(event.source), event.ms))
-        elif event.kind == "fault" and told.get("signal") == "SIGSTOP":
+        elif event.kind == "fault" and details.get("signal") == "SIGSTOP":
             paused[event.source] = event.ms
-        elif event.kind == "fault" and told.get("signal") == "SIGCONT" and event.source in paused:
+        elif event.kind == "fault" and details.get("signal") == "SIGCONT" and event.source in paused:
             found.append(Fault(event.source, "paused", paused.pop(event.source), event.ms))
-        elif event.kind == "fault" and (told.get("cut") or told.get("held")):
-            for name in (told["sender"], told["to"]):
+        elif event.kind == "fault" and (details.get("cut") or details.get("held")):
+            for name in (details["sender"], details["to"]):
                 cut.setdefault(name, event.ms)
         elif event.kind == "healed":
             found += [Fault(name, "cut", since, event.ms) for name, since in cut.items()]
             cut.clear()
-    for kind, left in (("ended", ended), ("paused", paused), ("cut", cut)):
-        found += [Fault(name, kind, since, FOREVER) for name, since in left.items()]
+    for kind, lasting in (("ended", ended), ("paused", paused), ("cut", cut)):
+        found += [Fault(name, kind, since, FOREVER) for name, since in lasting.items()]
     return found
 
 
 def justifying_faults(change: Event, found: list[Fault], bound_ms: float) -> list[Fault]:
-    """The faults that can account for one router's word that another is dead."""
-    about = change.details["name"]
-    rightful = []
-    for one in found:
-        if not one.since_ms <= change.ms <= one.until_ms + DELIVERY_GRACE_MS:
+    """The faults that justify that one router declared another dead.
+
+    The member has ended, or it was paused or cut off for at least `bound_ms`, or the observer was cut off so
+    long.
+    """
+    subject = change.details["name"]
+    justifying = []
+    for fault in found:
+        if not fault.since_ms <= change.ms <= fault.until_ms + DELIVERY_GRACE_MS:
             continue
-        long = min(change.ms, one.until_ms) - one.since_ms >= bound_ms
+        long_enough = min(change.ms, fault.until_ms) - fault.since_ms >= bound_ms
         if (
-            one.router == about
-            and (one.kind == "ended" or long)
-            or one.kind == "cut"
-            and one.router == change.source
-            and long
+            fault.router == subject
+            and (fault.kind == "ended" or long_enough)
+            or fault.kind == "cut"
+            and fault.router == change.source
+            and long_enough
         ):
-            rightful.append(one)
-    return rightful
+            justifying.append(fault)
+    return justifying
 
 
 def unjustified_deaths(record: Record, bound_ms: float) -> list[str]:
-    """Nobody is declared dead who has not ended, and was not paused or cut off for the stated bound."""
+    """Deaths declared although the member had not ended and was not paused or cut off for `bound_ms`."""
     found = faults_of(record)
     return [
         f"{x.source} declared {x.details['name']} dead at {x.ms:.0f} ms without cause: {x.details['reason']}"
@@ -78,22 +82,22 @@
 
 
 def repeated_deaths(record: Record) -> list[str]:
-    """Each observer tells of a member's death at most once for each fault that it or the member had."""
+    """Observers that declared a member dead more often than either of the two had a fault."""
     found = faults_of(record)
     deaths = Counter(
         (x.source, x.details["name"]) for x in record.events_of("changed") if x.details["to"] == "dead"
     )
     return [
-        f"{by} held {name} for dead {count} times, with {had} faults between them"
-        for (by, name), count in deaths.items()
-        if count > (had := sum(x.router in (by, name) for x in found))
+        f"{observer} declared {name} dead {count} times with {fault_count} faults of the two"
+        for (observer, name), count in deaths.items()
+        if count > (fault_count := sum(x.router in (observer, name) for x in found))
     ]
 
 
 def incarnation_decreases(record: Record) -> list[str]:
-    """What one life of a router is told of a member's incarnation only grows."""
+    """Members whose incarnation decreased within one run of an observer."""
     highest: dict[tuple[str, str], int] = {}
-    broken = []
+    violations = []
     for x in list(record.events):
         if x.kind == "started":
             for key in [key for key in highest if key[0] == x.source]:
@@ -101,12 +105,13 @@
         elif x.kind == "changed":
             key = x.source, x.details["name"]
             if x.details["incarnation"] < highest.get(key, 0):
-                broken.append(
+                violations.append(
                     f"{x.source} went back to incarnation {x.details['incarnation']} of {x.details['name']}"
                 )
             highest[key] = x.details["incarnation"]
-    return broken
+    return violations
 
 
 def all_violations(record: Record, bound_ms: float) -> list[str]:
+    """The violations of all checks."""
     return unjustified_deaths(record, bound_ms) + repeated_deaths(record) + incarnation_decreases(record)
--- a/cloverhinge/lab/harness.py
+++ b/cloverhinge/lab/harness.py
@@ -1,6 +1,7 @@
-"""The program as a process, and stand-ins for all that it talks to: for the tests, and for the lab's rig.
+"""Runs the program as a process, with fakes of its peers, for the tests and the rig.
 
-Nothing here sleeps: whoever waits, waits for a message, a line of the log or the end of the process.
+Nothing here sleeps for a fixed time to await an event: every wait is for a message, a log line or the exit of
+the process.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent.parent
-TIMEOUT_S = 10.0  # for what has to come; only a failing test waits so long
+TIMEOUT_S = 10.0  # for an expected event; only a failing test waits this long
 
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -56,31 +57,36 @@
 
 
 class Message:
+    """An RTSP request or response; header names are in lower case."""
+
     def __init__(self, start: str, headers: dict[str, str], body: bytes) -> None:
         self.start, self.headers, self.body = start, headers, body
 
     @property
     def session(self) -> str:
+        """The session id, empty where the message has none."""
         return self.headers.get("session", "")
 
     @property
     def status(self) -> int:
-        words = self.start.split()
-        return int(words[1]) if words[0].startswith("RTSP/") else 0
+        """The status code of a response, 0 for a request."""
+        fields = self.start.split()
+        return int(fields[1]) if fields[0].startswith("RTSP/") else 0
 
 
 class RtspConnection:
-    """One connection that speaks RTSP."""
+    """A blocking RTSP connection over a socket."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.reader = sock, sock.makefile("rb")
 
-    def send(self, start: str, session: str = "", cseq: int = 1, body: bytes = b"", **fields: str) -> None:
+    def send(self, start: str, session: str = "", cseq: int = 1, body: bytes = b"", **headers: str) -> None:
+        """Sends a message; an underscore in the name of a header stands for a hyphen."""
         lines = [
             start,
             f"CSeq: {cseq}",
             *([f"Session: {session}"] if session else []),
-            *(f"{name.replace('_', '-')}: {value}" for name, value in fields.items()),
+            *(f"{name.replace('_', '-')}: {value}" for name, value in headers.items()),
             f"Content-Length: {len(body)}",
             "",
             "",
@@ -88,7 +94,7 @@
         self.sock.sendall("\r\n".join(lines).encode() + body)
 
     def read(self) -> Message | None:
-        """The next message; None at the end of the connection."""
+        """Returns the next message, or None where the connection has ended or the message is malformed."""
         try:
             start = self.reader.readline().decode().strip()
             if not start:
@@ -102,6 +108,7 @@
             return None
 
     def close(self, reset: bool = False) -> None:
+        """Closes the connection; with `reset` the peer gets a TCP reset."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         with suppress(OSError):
@@ -111,7 +118,10 @@
 
 
 class Listener:
-    """Takes connections on a free port and hands each to `serve`, in a thread of its own."""
+    """Accepts connections on loopback and runs `serve` for each in a thread of its own.
+
+    Port 0 chooses a free port.
+    """
 
     def __init__(self, port: int = 0) -> None:
         self.socket = socket.create_server(("127.0.0.1", port))
@@ -122,23 +132,28 @@
     def _accept(self) -> None:
         with suppress(OSError):
             while True:
-                wire = RtspConnection(self.socket.accept()[0])
-                self.connections.append(wire)
-                threading.Thread(target=self.serve, args=(wire,), daemon=True).start()
+                connection = RtspConnection(self.socket.accept()[0])
+                self.connections.append(connection)
+                threading.Thread(target=self.serve, args=(connection,), daemon=True).start()
 
-    def serve(self, wire: RtspConnection) -> None:
+    def serve(self, connection: RtspConnection) -> None:
+        """Handles one connection until it ends."""
         raise NotImplementedError
 
     def stop(self, reset: bool = False) -> None:
+        """Stops accepting and closes all connections; with `reset` by a TCP reset."""
         with suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
-        for wire in self.connections:
-            wire.close(reset)
+        for connection in self.connections:
+            connection.close(reset)
 
 
 class FakeMediaServer(Listener):
-    """Answers tests; what else comes is handed out by `expect`, set-ups answered by `script` first."""
+    """An RTSP media server that answers probes itself.
+
+    All other messages are returned by `expect`; a set-up is passed to `on_set_up` first, which may answer it.
+    """
 
     def __init__(self, name: str, cell: int = 0, port: int = 0) -> None:
         self.name, self.cell, self.inbox = name, cell, queue.Queue[tuple[RtspConnection, Message]]()
@@ -148,31 +163,38 @@
         self.on_set_up: Callable[[RtspConnection, Message], None] = self.accept
         super().__init__(port)
 
-    def serve(self, wire: RtspConnection) -> None:
-        while message := wire.read():
+    def serve(self, connection: RtspConnection) -> None:
+        while message := connection.read():
             if message.start.startswith("OPTIONS"):
                 self.probes += 1
-                wire.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
+                connection.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
                 continue
             if message.start.startswith("SETUP"):
                 self.set_up_sessions.append(message.session)
-                self.on_set_up(wire, message)
-            self.inbox.put((wire, message))
+                self.on_set_up(connection, message)
+            self.inbox.put((connection, message))
 
-    def accept(self, wire: RtspConnection, message: Message) -> None:
-        wire.send("RTSP/1.0 200 OK", message.session, body=b"made by " + self.name.encode())
+    def accept(self, connection: RtspConnection, message: Message) -> None:
+        """Answers a set-up with 200."""
+        connection.send("RTSP/1.0 200 OK", message.session, body=b"made by " + self.name.encode())
 
-    def leave_unanswered(self, wire: RtspConnection, message: Message) -> None:
+    def leave_unanswered(self, connection: RtspConnection, message: Message) -> None:
+        """Leaves a set-up pending."""
         pass
 
     def expect(self, start: str) -> tuple[RtspConnection, Message]:
-        until = time.monotonic() + TIMEOUT_S
+        """Returns the next message whose first line begins with `start`, skipping others.
+
+        Raises `queue.Empty` after `TIMEOUT_S`.
+        """
+        deadline = time.monotonic() + TIMEOUT_S
         while True:
-            wire, message = self.inbox.get(timeout=max(0.01, until - time.monotonic()))
+            connection, message = self.inbox.get(timeout=max(0.01, deadline - time.monotonic()))
             if message.start.startswith(start):
-                return wire, message
+                return connection, message
 
     def list_entry(self, lifecycle: str = "active") -> dict[str, Any]:
+        """The entry of this server in the list that the change log publishes."""
         return {
             "instanceId": self.name,
             "hostPort": self.address,
@@ -186,48 +208,54 @@
 
 
 class StatelessMediaServer(FakeMediaServer):
-    """Answers set-ups and questions at once, keeps nothing."""
+    """Answers set-ups and probes at once and keeps no state, for load tests."""
 
-    def serve(self, wire: RtspConnection) -> None:
-        while message := wire.read():
+    def serve(self, connection: RtspConnection) -> None:
+        while message := connection.read():
             if message.start.startswith("SETUP"):
-                wire.send("RTSP/1.0 200 OK", message.session, body=b"made")
+                connection.send("RTSP/1.0 200 OK", message.session, body=b"made")
             elif message.start.startswith("OPTIONS"):
-                wire.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
+                connection.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
 
 
 class FakeChangeLog(Listener):
+    """A change log: numbered events as lines of JSON, and the last number as a heartbeat every 0.5 s."""
+
     def __init__(self, port: int = 0) -> None:
         self.events: list[dict[str, Any]] = []
         self.subscriptions: queue.Queue[tuple[int, RtspConnection]] = queue.Queue()
         self.sends_heartbeats = True
         super().__init__(port)
 
-    def append_event(self, rows: list[dict[str, Any]], full: bool = False) -> dict[str, Any]:
-        event = {"seq": len(self.events) + 1, "fleet": {"generation": 1, "reset": full, "instances": rows}}
+    def append_event(self, entries: list[dict[str, Any]], full: bool = False) -> dict[str, Any]:
+        """Adds an event without sending it; with `full` it replaces the whole list of servers."""
+        event = {"seq": len(self.events) + 1, "fleet": {"generation": 1, "reset": full, "instances": entries}}
         self.events.append(event)
         return event
 
-    def publish(self, rows: list[dict[str, Any]]) -> None:
-        line = json.dumps(self.append_event(rows)).encode() + b"\n"
-        for wire in self.connections:
+    def publish(self, entries: list[dict[str, Any]]) -> None:
+        """Adds an event with changed entries and sends it on all connections."""
+        line = json.dumps(self.append_event(entries)).encode() + b"\n"
+        for connection in self.connections:
             with suppress(OSError):
-                wire.sock.sendall(line)
-
-    def serve(self, wire: RtspConnection) -> None:
-        words = wire.reader.readline().split()
-        if not words:
-            return  # its follower ended before it asked
-        since = int(words[1])
-        self.subscriptions.put((since, wire))
+                connection.sock.sendall(line)
+
+    def serve(self, connection: RtspConnection) -> None:
+        fields = connection.reader.readline().split()
+        if not fields:
+            return  # the client closed before it sent its request
+        since = int(fields[1])
+        self.subscriptions.put((since, connection))
         with suppress(OSError):
-            wire.sock.sendall(b"".join(json.dumps(event).encode() + b"\n" for event in self.events[since:]))
+            connection.sock.sendall(
+                b"".join(json.dumps(event).encode() + b"\n" for event in self.events[since:])
+            )
             while self.sends_heartbeats and not threading.Event().wait(0.5):
-                wire.sock.sendall(b"%d\n" % len(self.events))
+                connection.sock.sendall(b"%d\n" % len(self.events))
 
 
 class Program:
-    """The program as a process."""
+    """A running process of the program, with its configuration and its log."""
 
     def __init__(
         self,
@@ -241,14 +269,18 @@
         listener: socket.socket | None = None,
         **settings: Any,
     ) -> None:
-        """`operated`: the staff may call; `listener`: its clients' listening socket is inherited."""
+        """Starts the process and waits until it listens.
+
+        With `operator_calls` it accepts operator commands; with `listener` it inherits that socket, on which
+        its clients connect.  Further keywords override `SETTINGS`.
+        """
         known = {
             "seq": 1,
-            "results": [change_log.append_event([pump.list_entry() for pump in servers], full=True)],
+            "results": [change_log.append_event([server.list_entry() for server in servers], full=True)],
         }
-        told = self.configuration("n0", change_log, known, sockets, **settings)
-        self.config_path, self.initial_config = folder / "config.json", told
-        self.config_path.write_text(json.dumps(told))
+        config = self.configuration("n0", change_log, known, sockets, **settings)
+        self.config_path, self.initial_config = folder / "config.json", config
+        self.config_path.write_text(json.dumps(config))
         arguments = [sys.executable, *program, "serve"]
         if site_file is not None:
             arguments += ["--site", str(site_file)]
@@ -278,25 +310,26 @@
                 self.operator_port = int(self.wait_for(r"n0: operators at 127\.0\.0\.1:(\d+)")[1])
             self.port = int(self.wait_for(r"n0: listening on 127\.0\.0\.1:(\d+)")[1])
         except AssertionError:
-            self.process.kill()  # nobody else would
+            self.process.kill()  # the caller has no object to stop it by
             raise
 
     def successor(self) -> Program:
-        """The same once more, beside this one."""
+        """Starts a second process with the same configuration while this one runs."""
         other = copy.copy(self)
         other._start()
         return other
 
     def operator_call(self, line: str) -> list[str]:
-        """The lines of the answer to a call of the staff."""
-        with socket.create_connection(("127.0.0.1", self.operator_port), TIMEOUT_S) as link:
-            link.sendall(line.encode() + b"\n")
-            return link.makefile("rb").read().decode().splitlines()
+        """Sends an operator command and returns the lines of the answer."""
+        with socket.create_connection(("127.0.0.1", self.operator_port), TIMEOUT_S) as sock:
+            sock.sendall(line.encode() + b"\n")
+            return sock.makefile("rb").read().decode().splitlines()
 
     @staticmethod
     def configuration(
         name: str, change_log: FakeChangeLog, known: dict[str, Any], sockets: int = 1024, **settings: Any
     ) -> dict[str, Any]:
+        """The configuration of a router as JSON values; `settings` override `SETTINGS`."""
         return {
             "name": name,
             "listen": "127.0.0.1:0",
@@ -314,38 +347,49 @@
             self.unread_lines.put(line)
 
     def wait_for(self, pattern: str) -> re.Match[str]:
-        until = time.monotonic() + TIMEOUT_S
+        """Reads log lines not read before until one matches; AssertionError after `TIMEOUT_S`."""
+        deadline = time.monotonic() + TIMEOUT_S
         while True:
             try:
-                line = self.unread_lines.get(timeout=max(0.01, until - time.monotonic()))
+                line = self.unread_lines.get(timeout=max(0.01, deadline - time.monotonic()))
             except queue.Empty:
-                raise AssertionError(f"no {pattern!r} in:\n{''.join(self.log)}") from None
+                raise AssertionError(f"no log line matches {pattern!r}:\n{''.join(self.log)}") from None
             if found := re.search(pattern, line):
                 return found
 
     def connect(self) -> RtspConnection:
+        """Opens a client's connection to the program."""
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=TIMEOUT_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is written is there at once
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # each write is sent without delay
         return RtspConnection(sock)
 
     def reload(self, text: str) -> None:
+        """Writes a new configuration and makes the program read it (SIGHUP)."""
         self.config_path.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
     def pause(self) -> None:
-        """Returns once the process stands still: what comes now is found all at once by `go_on`."""
+        """Stops the process (SIGSTOP) and waits until it is stopped.
+
+        Input that arrives meanwhile is read all at once after `resume`.
+        """
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED)
 
     def resume(self) -> None:
+        """Continues a paused process (SIGCONT)."""
         self.process.send_signal(signal.SIGCONT)
 
     def resume_after(self, seconds: float, client: RtspConnection) -> None:
-        """Lets limits on time pass while it stands still; nothing comes to the client meanwhile."""
+        """Resumes after `seconds`, so that deadlines expire during the pause.
+
+        `client` is only waited on: a paused process sends it nothing.
+        """
         select.select([client.sock], [], [], seconds)
         self.resume()
 
     def terminate(self) -> int:
+        """Sends SIGTERM and returns the exit code."""
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(TIMEOUT_S)
 
@@ -358,7 +402,11 @@
     change_log: FakeChangeLog | None = None,
     **more: Any,
 ) -> Iterator[tuple[Program, list[FakeMediaServer], FakeChangeLog]]:
-    """A program with so many pumps, one a cell; it has to end without an escaped exception."""
+    """Runs the program with `count` fake media servers, one in each cell, unless `servers` are given.
+
+    At the end the program has to exit with code 0 and no traceback in its log.  Further keywords go to
+    `Program`.
+    """
     servers, change_log = (
         list(servers) or [FakeMediaServer(f"s-{n:08x}", n) for n in range(count)],
         change_log or FakeChangeLog(),
@@ -385,7 +433,7 @@
     dest: str = "home:0;copies:3;top:1;viewer:00000000b4d65521",
     title: str = "7f3a9c21e0b4d655",
 ) -> str:
-    """Write a set-up; returns its session."""
+    """Sends a set-up request and returns its session id."""
     name = f"{number:016x}"
     connection.send(
         f"SETUP rtsp://media/{title} RTSP/1.0",
@@ -400,12 +448,13 @@
 
 
 def ping(connection: RtspConnection) -> None:
-    """A test that is passed: the program has read what came on this connection before."""
+    """Sends a probe and awaits its answer, so the program has read all earlier input of this connection."""
     connection.send("OPTIONS rtsp://media/ping RTSP/1.0", "00000000000000aa", 3)
     assert read_answer(connection).status == 200
 
 
 def read_answer(connection: RtspConnection, start: str = "RTSP/1.0") -> Message:
+    """Returns the next message, whose first line has to begin with `start`."""
     message = connection.read()
     assert message is not None and message.start.startswith(start), message and message.start
     return message
--- a/cloverhinge/lab/hub.py
+++ b/cloverhinge/lab/hub.py
@@ -1,8 +1,8 @@
-"""Between real processes: passes datagrams and connections on, and treats each direction of a pair by itself.
+"""A relay between real processes that applies faults to each direction of a pair separately.
 
-Each router has a port of the hub's, which it tells the others as its own.  The hub knows a sender by its
-loopback address and passes on from the sender's own port here, so both ends see the hub's addresses alone.
-Where a process has ended its port refuses connections, as the kernel would.
+Each router has a port at the hub, which it advertises as its own address.  The hub identifies a sender by its
+loopback address and forwards from the sender's port at the hub, so both ends see addresses of the hub only.
+The port of a process that has ended refuses connections, as the kernel would.
 """
 
 from __future__ import annotations
@@ -23,68 +23,76 @@
 Address = tuple[str, int]
 T = TypeVar("T")
 
-MAX_HELD_DATAGRAMS = 10_000  # datagrams of a direction that is held back; more are lost
-CAPTURE_REPORT_COUNT = 50  # datagrams after which a tap is told of
+MAX_HELD_DATAGRAMS = 10_000  # held in one direction, or captured; further ones held are lost
+CAPTURE_REPORT_COUNT = 50  # captured datagrams after which the event `tapped` is recorded
 CHUNK_BYTES = 65536
-RETRANSMIT_MS = 200.0  # what a lost segment costs a connection at least (RFC 6298)
+RETRANSMIT_MS = 200.0  # least delay that a lost segment causes on a connection (RFC 6298)
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: closing sends a reset
 
 
 @dataclass(frozen=True, slots=True)
 class LinkConditions:
-    """One direction of a pair.  Shares are of datagrams (of a connection's chunks: sent again later)."""
+    """The state of one direction of a pair.
+
+    Shares are of datagrams; for a connection they are of its chunks, where a lost one only comes later.
+    """
 
     cut: bool = False
-    loss: float = 0.0
-    twice: float = 0.0
-    late: float = 0.0  # share that comes up to `late_ms` later, so behind others
+    loss: float = 0.0  # share lost
+    twice: float = 0.0  # share delivered twice
+    late: float = 0.0  # share delayed by up to `late_ms` more, so that others overtake it
     late_ms: float = 300.0
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
-    rate_kb: float = 0.0  # a second; 0: as fast as it goes
-    held: bool = False  # kept back until `let_go`
+    rate_kb: float = 0.0  # kilobytes a second; 0: no limit
+    held: bool = False  # queued until `let_go`
 
 
 DEFAULT_CONDITIONS = LinkConditions()
-MAX_PORT_ATTEMPTS = 20  # numbers for one router
+MAX_PORT_ATTEMPTS = 20  # port numbers tried for one router
 
 
 class RouterPort(asyncio.DatagramProtocol):
-    """One router's place at the hub."""
+    """The port of one router at the hub, for datagrams and connections."""
 
     def __init__(self, hub: Hub, name: str, host: str) -> None:
         self.hub, self.name, self.host, self.port = hub, name, host, 0
         self.router_address: Address | None = None
         self.transport: asyncio.DatagramTransport
         self.server: asyncio.Server | None = None
-        self.reserved: socket.socket | None = None  # keeps the number for `server`, and refuses until then
+        self.reserved: socket.socket | None = None  # bound but not listening, so it refuses connections
 
     def reserve(self) -> None:
-        """Guards against another socket of the machine taking the number before the router stands."""
+        """Binds the port, so that no other process takes the number before `Hub.attach`."""
         self.reserved = socket.socket()
         self.reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.reserved.bind((self.host, self.port))
 
     def connection_made(self, transport: Any) -> None:
+        """Keeps the transport of the datagram endpoint."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
+        """Forwards a datagram to the router; drops it where the sender is unknown."""
         sender = self.hub.by_host.get(addr[0])
         if sender is not None:
             self.hub.forward_datagram(sender, self, data)
 
 
 class Hub:
-    """Runs in a thread of its own; the calls without an underscore may come from any thread."""
+    """The relay, on an event loop in a thread of its own; public methods may be called from any thread.
+
+    `forward_datagram` and `conditions_between` are meant for the hub's own thread.
+    """
 
     def __init__(self, record: Record, seed: int = 1) -> None:
         self.record, self.random = record, random.Random(seed)
         self.ports: dict[str, RouterPort] = {}
-        self.by_host: dict[str, RouterPort] = {}  # routers by the address that they really have
+        self.by_host: dict[str, RouterPort] = {}  # by the router's own address, from which it sends
         self.conditions: dict[tuple[str, str], LinkConditions] = {}
         self.default_conditions = DEFAULT_CONDITIONS
         self.counts = {"passed": 0, "lost": 0, "bytes": 0}
-        self.captured: dict[str, list[bytes]] = {}  # copies of what came for a router, where it is asked for
+        self.captured: dict[str, list[bytes]] = {}  # copies of datagrams, by receiver; tests add the keys
         self._busy_until: dict[tuple[str, str], float] = {}
         self._held: dict[tuple[str, str], list[Callable[[], None]]] = {}
         self._connections: dict[tuple[str, str], set[asyncio.StreamWriter]] = {}
@@ -96,11 +104,13 @@
         self._thread.start()
 
     def _call(self, coroutine: Coroutine[Any, Any, T]) -> T:
-        waiting: Future[T] = asyncio.run_coroutine_threadsafe(coroutine, self.loop)
-        return waiting.result(10.0)
+        future: Future[T] = asyncio.run_coroutine_threadsafe(coroutine, self.loop)
+        return future.result(10.0)
 
     def stop(self) -> None:
-        async def ending() -> None:
+        """Closes all sockets and ends the thread."""
+
+        async def closing() -> None:
             for port in self.ports.values():
                 port.transport.close()
                 if port.server is not None:
@@ -114,18 +124,21 @@
                 task.cancel()
             await asyncio.gather(*self._tasks, return_exceptions=True)
 
-        self._call(ending())
+        self._call(closing())
         self.loop.call_soon_threadsafe(self.loop.stop)
         self._thread.join(10.0)
         self.loop.close()
 
-    # Places
+    # Ports
 
-    def add_router(self, name: str, host: str, real_host: str) -> Address:
-        """A port at `host` for the router that will be at `real_host`; it refuses until `attach`."""
+    def add_router(self, name: str, host: str, router_host: str) -> Address:
+        """Reserves a port at `host` for the router that will send from `router_host`; returns its address.
 
-        async def making() -> Address:
-            for _ in range(MAX_PORT_ATTEMPTS):  # a number that is free for datagrams may be taken for streams
+        It refuses connections until `attach`.  OSError where no port is free after `MAX_PORT_ATTEMPTS`.
+        """
+
+        async def create() -> Address:
+            for _ in range(MAX_PORT_ATTEMPTS):  # a port free for UDP may be taken for TCP
                 _, port = await self.loop.create_datagram_endpoint(
                     lambda: RouterPort(self, name, host), local_addr=(host, 0)
                 )
@@ -137,68 +150,75 @@
                     port.transport.close()
             else:
                 raise OSError(f"no port at {host} is free for datagrams and streams")
-            self.ports[name] = self.by_host[real_host] = port
+            self.ports[name] = self.by_host[router_host] = port
             return host, port.port
 
-        return self._call(making())
+        return self._call(create())
+
+    def attach(self, name: str, address: Address) -> None:
+        """Forwards to the router from now on, which listens at `address`."""
 
-    def attach(self, name: str, real: Address) -> None:
-        async def attaching() -> None:
+        async def attach_port() -> None:
             port = self.ports[name]
-            port.router_address = real
+            port.router_address = address
             if port.server is None:
                 port.server = await asyncio.start_server(
                     lambda r, w: self._connection_accepted(port, r, w), sock=port.reserved
                 )
 
-        self._call(attaching())
+        self._call(attach_port())
 
     def detach(self, name: str) -> None:
-        """Its process has ended: connections to it are refused from now on."""
+        """Resets the connections of a router whose process has ended and refuses new ones."""
 
-        async def detaching() -> None:
+        async def detach_port() -> None:
             port = self.ports[name]
             port.router_address = None
             if port.server is not None:
                 port.server.close()
                 port.server = None
                 port.reserve()
-            for (one, other), links in self._connections.items():
+            for (one, other), writers in self._connections.items():
                 if name in (one, other):
-                    for link in links:
-                        self._reset(link)
+                    for writer in writers:
+                        self._reset(writer)
+
+        self._call(detach_port())
 
-        self._call(detaching())
+    def add_server_proxy(self, router: str, server_name: str, host: str, address: Address) -> Address:
+        """Starts a listener that forwards to a media server for one router only; returns its address.
 
-    def add_server_proxy(self, router: str, box: str, host: str, real: Address) -> Address:
-        """A listener that `router` alone is told for `box`, so that its ways there are its own."""
+        Faults can so affect the connections of that router alone.
+        """
 
-        async def making() -> Address:
-            async def taken(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                await self._relay(router, box, reader, writer, real, None)
+        async def create() -> Address:
+            async def accepted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+                await self._relay(router, server_name, reader, writer, address, None)
 
-            server = await asyncio.start_server(lambda r, w: self._start_task(taken(r, w)), host, 0)
+            server = await asyncio.start_server(lambda r, w: self._start_task(accepted(r, w)), host, 0)
             self._servers.append(server)
-            found: Address = server.sockets[0].getsockname()
-            return found
+            listening: Address = server.sockets[0].getsockname()
+            return listening
 
-        return self._call(making())
+        return self._call(create())
 
     # Faults
 
-    def conditions_between(self, sender: str, to: str) -> LinkConditions:
-        return self.conditions.get((sender, to), self.default_conditions)
+    def conditions_between(self, sender: str, receiver: str) -> LinkConditions:
+        """The present conditions of one direction."""
+        return self.conditions.get((sender, receiver), self.default_conditions)
 
-    def change(self, sender: str, to: str, **changed: Any) -> None:
-        self.record.add("hub", "fault", sender=sender, to=to, **changed)
-        self.loop.call_soon_threadsafe(self._change, sender, to, changed)
+    def change(self, sender: str, receiver: str, **changed: Any) -> None:
+        """Sets fields of the conditions of one direction and records it as a fault."""
+        self.record.add("hub", "fault", sender=sender, to=receiver, **changed)
+        self.loop.call_soon_threadsafe(self._change, sender, receiver, changed)
 
-    def _change(self, sender: str, to: str, changed: dict[str, Any]) -> None:
-        self.conditions[sender, to] = replace(self.conditions_between(sender, to), **changed)
+    def _change(self, sender: str, receiver: str, changed: dict[str, Any]) -> None:
+        self.conditions[sender, receiver] = replace(self.conditions_between(sender, receiver), **changed)
         self._conditions_changed()
 
     def change_default(self, **changed: Any) -> None:
-        """For all ways that have no setting of their own."""
+        """Sets fields of the conditions of all directions that have none of their own."""
         self.record.add("hub", "fault", sender="all", to="all", **changed)
         self.loop.call_soon_threadsafe(self._change_default, changed)
 
@@ -206,14 +226,16 @@
         self.default_conditions = replace(self.default_conditions, **changed)
         self._conditions_changed()
 
-    def cut(self, some: list[str], others: list[str], both: bool = True) -> None:
-        for one in some:
-            for other in others:
-                self.change(one, other, cut=True)
+    def cut(self, senders: list[str], receivers: list[str], both: bool = True) -> None:
+        """Cuts each of `senders` off from each of `receivers`, by default in both directions."""
+        for sender in senders:
+            for receiver in receivers:
+                self.change(sender, receiver, cut=True)
                 if both:
-                    self.change(other, one, cut=True)
+                    self.change(receiver, sender, cut=True)
 
     def heal(self) -> None:
+        """Removes all faults."""
         self.record.add("hub", "healed")
         self.loop.call_soon_threadsafe(self._heal)
 
@@ -223,24 +245,26 @@
         self._conditions_changed()
 
     def reset(self, one: str, other: str) -> None:
-        """Resets the connections that stand between two."""
+        """Resets the open connections between two, in both directions."""
         self.record.add("hub", "fault", sender=one, to=other, reset=True)
 
-        def resetting() -> None:
+        def reset_all() -> None:
             for pair in ((one, other), (other, one)):
-                for link in self._connections.get(pair, ()):
-                    self._reset(link)
+                for writer in self._connections.get(pair, ()):
+                    self._reset(writer)
 
-        self.loop.call_soon_threadsafe(resetting)
+        self.loop.call_soon_threadsafe(reset_all)
 
-    def hold(self, sender: str, to: str) -> None:
-        self.change(sender, to, held=True)
+    def hold(self, sender: str, receiver: str) -> None:
+        """Queues everything sent in one direction until `let_go`."""
+        self.change(sender, receiver, held=True)
 
-    def let_go(self, sender: str, to: str) -> None:
-        self.change(sender, to, held=False)
+    def let_go(self, sender: str, receiver: str) -> None:
+        """Delivers what `hold` queued and holds no more."""
+        self.change(sender, receiver, held=False)
 
     def _conditions_changed(self) -> None:
-        """Wakes whoever waits for a way to open, and sends on what was held and is no more."""
+        """Wakes connections that wait for an open direction and sends datagrams that are no longer held."""
         changed, self._change_event = self._change_event, asyncio.Event()
         changed.set()
         for pair in list(self._held):
@@ -250,44 +274,45 @@
 
     # Datagrams
 
-    def forward_datagram(self, sender: RouterPort, to: RouterPort, data: bytes) -> None:
-        way, pair = self.conditions_between(sender.name, to.name), (sender.name, to.name)
-        tap = self.captured.get(to.name)
-        if tap is not None and len(tap) < MAX_HELD_DATAGRAMS:
-            tap.append(data)
-            if len(tap) == CAPTURE_REPORT_COUNT:
-                self.record.add("hub", "tapped", name=to.name)
-        if way.cut or self.random.random() < way.loss:
+    def forward_datagram(self, sender: RouterPort, receiver: RouterPort, data: bytes) -> None:
+        """Forwards a datagram under the conditions of its direction."""
+        conditions, pair = self.conditions_between(sender.name, receiver.name), (sender.name, receiver.name)
+        captured = self.captured.get(receiver.name)
+        if captured is not None and len(captured) < MAX_HELD_DATAGRAMS:
+            captured.append(data)
+            if len(captured) == CAPTURE_REPORT_COUNT:
+                self.record.add("hub", "tapped", name=receiver.name)
+        if conditions.cut or self.random.random() < conditions.loss:
             self.counts["lost"] += 1
             return
 
         def send() -> None:
-            if to.router_address is not None and not sender.transport.is_closing():
+            if receiver.router_address is not None and not sender.transport.is_closing():
                 self.counts["passed"] += 1
                 self.counts["bytes"] += len(data)
-                sender.transport.sendto(data, to.router_address)
+                sender.transport.sendto(data, receiver.router_address)
 
-        if way.held:
+        if conditions.held:
             held = self._held.setdefault(pair, [])
             if len(held) < MAX_HELD_DATAGRAMS:
                 held.append(send)
             return
-        for _ in range(2 if self.random.random() < way.twice else 1):
-            delay = self._delay(pair, way, len(data))
-            if self.random.random() < way.late:
-                delay += self.random.random() * way.late_ms
+        for _ in range(2 if self.random.random() < conditions.twice else 1):
+            delay = self._delay(pair, conditions, len(data))
+            if self.random.random() < conditions.late:
+                delay += self.random.random() * conditions.late_ms
             if delay > 0.0:
                 self.loop.call_later(delay / 1000.0, send)
             else:
                 send()
 
-    def _delay(self, pair: tuple[str, str], way: LinkConditions, size: int) -> float:
-        delay = way.delay_ms + self.random.random() * way.jitter_ms
-        if way.rate_kb > 0.0:
+    def _delay(self, pair: tuple[str, str], conditions: LinkConditions, size: int) -> float:
+        delay = conditions.delay_ms + self.random.random() * conditions.jitter_ms
+        if conditions.rate_kb > 0.0:
             now = self.loop.time() * 1000.0
-            free = max(now, self._busy_until.get(pair, 0.0)) + size / way.rate_kb
-            self._busy_until[pair] = free
-            delay += free - now
+            done_ms = max(now, self._busy_until.get(pair, 0.0)) + size / conditions.rate_kb
+            self._busy_until[pair] = done_ms
+            delay += done_ms - now
         return delay
 
     # Connections
@@ -298,14 +323,14 @@
         task.add_done_callback(self._tasks.discard)
 
     def _connection_accepted(
-        self, to: RouterPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, receiver: RouterPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         sender = self.by_host.get(writer.get_extra_info("peername")[0])
-        if sender is None or to.router_address is None:
+        if sender is None or receiver.router_address is None:
             self._reset(writer)
             return
         self._start_task(
-            self._relay(sender.name, to.name, reader, writer, to.router_address, (sender.host, 0))
+            self._relay(sender.name, receiver.name, reader, writer, receiver.router_address, (sender.host, 0))
         )
 
     async def _relay(
@@ -314,48 +339,49 @@
         other: str,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        real: Address,
-        bound: Address | None,
+        address: Address,
+        source: Address | None,
     ) -> None:
         await self._until_open(one, other)
         try:
-            there, back = await asyncio.open_connection(*real, local_addr=bound)
+            server_reader, server_writer = await asyncio.open_connection(*address, local_addr=source)
         except OSError:
             self._reset(writer)
             return
-        links = self._connections.setdefault((one, other), set())
-        links |= {writer, back}
+        writers = self._connections.setdefault((one, other), set())
+        writers |= {writer, server_writer}
         try:
             await asyncio.gather(
-                self._forward(one, other, reader, back), self._forward(other, one, there, writer)
+                self._forward(one, other, reader, server_writer),
+                self._forward(other, one, server_reader, writer),
             )
         finally:
-            links -= {writer, back}
+            writers -= {writer, server_writer}
             writer.close()
-            back.close()
+            server_writer.close()
 
     async def _forward(
-        self, sender: str, to: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, sender: str, receiver: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
-                way = await self._until_open(sender, to)
-                delay = self._delay((sender, to), way, len(data))
-                while self.random.random() < way.loss and delay < 10_000.0:
+                conditions = await self._until_open(sender, receiver)
+                delay = self._delay((sender, receiver), conditions, len(data))
+                while self.random.random() < conditions.loss and delay < 10_000.0:
                     delay += RETRANSMIT_MS
                 if delay > 0.0:
                     await asyncio.sleep(delay / 1000.0)
-                    await self._until_open(sender, to)
+                    await self._until_open(sender, receiver)
                 writer.write(data)
                 await writer.drain()
             if writer.can_write_eof():
                 writer.write_eof()
 
-    async def _until_open(self, sender: str, to: str) -> LinkConditions:
-        """Waits while nothing passes there."""
-        while (way := self.conditions_between(sender, to)).cut or way.held:
+    async def _until_open(self, sender: str, receiver: str) -> LinkConditions:
+        """Waits while the direction is cut or held; returns its conditions."""
+        while (conditions := self.conditions_between(sender, receiver)).cut or conditions.held:
             await self._change_event.wait()
-        return way
+        return conditions
 
     @staticmethod
     def _reset(writer: asyncio.StreamWriter) -> None:
--- a/cloverhinge/lab/media.py
+++ b/cloverhinge/lab/media.py
@@ -1,7 +1,8 @@
-"""Media boxes as stand-ins, with both sides of the platform and a record of each session that they hold.
+"""Fake media servers for HLS over HTTP and for RTSP that record each session they hold.
 
-HTTP as `hls/media_servers.py` says it, RTSP as the pumps speak it.  A box holds a session from its set-up
-until it is released; what it was asked goes into the run's record, so that checkers need no router's word.
+The HTTP side follows `hls/media_servers.py`, the RTSP side `FakeMediaServer`.  A server holds a session from
+its set-up until the release.  All requests go into the record of the run, so checks need not rely on what the
+routers report.
 """
 
 from __future__ import annotations
@@ -24,38 +25,39 @@
 
 
 class RecordingMediaServer(FakeMediaServer):
-    """`sessions` stand here now, by name, with their titles.
+    """`sessions` maps the ids of the sessions held now to their titles.
 
-    `before` closed holds a set-up before the box takes it, `after` holds its answer back.
+    While `may_set_up` is cleared a set-up waits before the session is established; while `may_answer` is
+    cleared it waits after that, before the answer.  Both waits end after `TIMEOUT_S`.
     """
 
     def __init__(self, name: str, cell: int, record: Record | None = None) -> None:
         self.record = record or Record()
         self.sessions: dict[str, str] = {}
         self.lock = threading.Lock()
-        self.ended_sessions: list[
-            str
-        ] = []  # told again on each new connection, as whose they are may have changed
+        # Announced again on each new connection, as the owner may be another router by then.
+        self.ended_sessions: list[str] = []
         self.may_set_up, self.may_answer = threading.Event(), threading.Event()
         self.may_set_up.set()
         self.may_answer.set()
-        self.http_server = _Server(("127.0.0.1", 0), _handler(self))
+        self.http_server = _HttpServer(("127.0.0.1", 0), _handler(self))
         self.http_server.daemon_threads = True
         self.origin = "127.0.0.1:%d" % self.http_server.server_port
         threading.Thread(target=self.http_server.serve_forever, args=(0.05,), daemon=True).start()
         super().__init__(name, cell)
         self.on_set_up = self.start_set_up
 
-    def record_event(self, what: str, session: str, title: str = "") -> Event:
-        return self.record.add(self.name, what, session=session, title=title)
+    def record_event(self, event_kind: str, session: str, title: str = "") -> Event:
+        """Records an event of a session."""
+        return self.record.add(self.name, event_kind, session=session, title=title)
 
     def is_full(self) -> bool:
-        """Whether it turns set-ups away now."""
+        """Whether the server rejects set-ups now."""
         return False
 
-    def set_up(self, session: str, title: str, kind: str) -> None:
-        """In two steps, each of which a test may hold up: it is asked, and it stands."""
-        self.record.add(self.name, "asked", session=session, title=title, kind=kind)
+    def set_up(self, session: str, title: str, service_class: str) -> None:
+        """Records the request and establishes the session; a test can delay either step."""
+        self.record.add(self.name, "asked", session=session, title=title, kind=service_class)
         self.may_set_up.wait(TIMEOUT_S)
         with self.lock:
             self.sessions[session] = title
@@ -63,54 +65,59 @@
         self.may_answer.wait(TIMEOUT_S)
 
     def release(self, session: str) -> None:
+        """Removes a session and records whether it was held."""
         with self.lock:
             title = self.sessions.pop(session, None)
         self.record_event("released" if title is not None else "released in vain", session, title or "")
 
     def end_session(self, session: str) -> None:
-        """The box ends it: told on all lines to it, as one of them is its router's."""
+        """Ends a session from the server's side.
+
+        The end is sent on all connections, as the server doesn't know which one belongs to the owner.
+        """
         with self.lock:
             self.sessions.pop(session, None)
             self.ended_sessions.append(session)
         self.record_event("ended", session)
-        for wire in list(self.connections):
-            self._send_end(wire, session)
+        for connection in list(self.connections):
+            self._send_end(connection, session)
 
     @staticmethod
-    def _send_end(wire: RtspConnection, session: str) -> None:
+    def _send_end(connection: RtspConnection, session: str) -> None:
         with suppress(OSError):
-            wire.send("TEARDOWN rtsp://media/session RTSP/1.0", session, 2, Reason="cause=16")
+            connection.send("TEARDOWN rtsp://media/session RTSP/1.0", session, 2, Reason="cause=16")
 
     # RTSP
 
-    def start_set_up(self, wire: RtspConnection, message: Message) -> None:
-        threading.Thread(target=self._answer, args=(wire, message), daemon=True).start()
+    def start_set_up(self, connection: RtspConnection, message: Message) -> None:
+        """Handles an RTSP set-up in a thread of its own, as `set_up` may block."""
+        threading.Thread(target=self._answer, args=(connection, message), daemon=True).start()
 
-    def _answer(self, wire: RtspConnection, message: Message) -> None:
+    def _answer(self, connection: RtspConnection, message: Message) -> None:
         if self.is_full():
-            wire.send("RTSP/1.0 453 Not Enough Bandwidth", message.session)
+            connection.send("RTSP/1.0 453 Not Enough Bandwidth", message.session)
             return
         self.set_up(
             message.session,
             message.start.split()[1].removeprefix("rtsp://media/"),
             message.headers.get("x-call-class", ""),
         )
-        with suppress(OSError):  # the router may be gone
-            wire.send("RTSP/1.0 200 OK", message.session, body=b"made by " + self.name.encode())
+        with suppress(OSError):  # the router may have closed the connection
+            connection.send("RTSP/1.0 200 OK", message.session, body=b"made by " + self.name.encode())
 
-    def serve(self, wire: RtspConnection) -> None:
+    def serve(self, connection: RtspConnection) -> None:
         for session in list(self.ended_sessions):
-            self._send_end(wire, session)
-        while message := wire.read():
+            self._send_end(connection, session)
+        while message := connection.read():
             with suppress(OSError):
                 if message.start.startswith("OPTIONS"):
                     self.probes += 1
-                    wire.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
+                    connection.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
                 elif message.start.startswith("SETUP"):
-                    self.on_set_up(wire, message)
+                    self.on_set_up(connection, message)
                 elif message.start.startswith("TEARDOWN"):
                     self.release(message.session)
-                    wire.send("RTSP/1.0 200 OK", message.session, 2)
+                    connection.send("RTSP/1.0 200 OK", message.session, 2)
 
     def stop(self, reset: bool = False) -> None:
         self.may_set_up.set()
@@ -121,7 +128,7 @@
 
 
 class LimitedMediaServer(RecordingMediaServer):
-    """So many places, sessions of one length, and a load that says so."""
+    """Holds at most `max_sessions`, ends each after `session_life_s`, and reports its use as load."""
 
     def __init__(self, name: str, cell: int, max_sessions: int, session_life_s: float) -> None:
         self.max_sessions, self.session_life_s = max_sessions, session_life_s
@@ -132,31 +139,31 @@
         return f"x0:{len(self.sessions) / self.max_sessions:.2f};x1:0.1"
 
     @load.setter
-    def load(self, told: str) -> None:
-        """Its sessions say it."""
+    def load(self, report: str) -> None:
+        """Ignored: the load follows from the number of sessions."""
 
     def is_full(self) -> bool:
         return len(self.sessions) >= self.max_sessions
 
-    def set_up(self, session: str, title: str, kind: str) -> None:
-        super().set_up(session, title, kind)
-        ends = threading.Timer(self.session_life_s, self._over, (session,))
-        ends.daemon = True
-        ends.start()
+    def set_up(self, session: str, title: str, service_class: str) -> None:
+        super().set_up(session, title, service_class)
+        timer = threading.Timer(self.session_life_s, self._life_over, (session,))
+        timer.daemon = True
+        timer.start()
 
-    def _over(self, session: str) -> None:
+    def _life_over(self, session: str) -> None:
         if session in self.sessions:
             self.end_session(session)
 
 
-class _Server(ThreadingHTTPServer):
+class _HttpServer(ThreadingHTTPServer):
     request_queue_size = 64
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """A router that is gone before its answer is no news here."""
+        """Ignores errors of connections, which routers may close before the answer."""
 
 
-def _handler(box: RecordingMediaServer) -> type[BaseHTTPRequestHandler]:
+def _handler(media_server: RecordingMediaServer) -> type[BaseHTTPRequestHandler]:
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
 
@@ -168,17 +175,17 @@
             self.wfile.write(data)
 
         def do_PUT(self) -> None:
-            told = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
+            request = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
             name = self.path.split("/")[2]
-            if box.is_full():
+            if media_server.is_full():
                 self.answer(503)
                 return
-            box.set_up(name, told["title"], told["class"])
+            media_server.set_up(name, request["title"], request["class"])
             self.answer(200, MASTER.format(name))
 
         def do_GET(self) -> None:
             name = self.path.split("/")[2]
-            if name not in box.sessions:
+            if name not in media_server.sessions:
                 self.answer(404)
             else:
                 self.answer(200, MEDIA if self.path.endswith(".m3u8") else MASTER.format(name))
@@ -188,7 +195,7 @@
             self.answer(200)
 
         def do_DELETE(self) -> None:
-            box.release(self.path.split("/")[2])
+            media_server.release(self.path.split("/")[2])
             self.answer(200)
 
         def log_message(self, *_: Any) -> None:
@@ -198,5 +205,8 @@
 
 
 def set_ups_by_title(record: Record, kind: str = "paid") -> Counter[str]:
-    """How often each title was asked for at any box: with a title for each play, set-ups of that play."""
+    """Counts the set-up requests for each title at all servers.
+
+    Where each play has a title of its own, that is the number of set-ups of the play.
+    """
     return Counter(x.details["title"] for x in record.events_of("asked") if x.details["kind"] == kind)
--- a/cloverhinge/lab/record.py
+++ b/cloverhinge/lab/record.py
@@ -1,4 +1,4 @@
-"""One record by time of all that is asked, answered and broken in a run; checkers read it afterwards."""
+"""The record of a run: requests, answers, log lines and faults in order of time, for checks afterwards."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 from pathlib import Path
 from typing import Any
 
-MAX_EVENTS = 1_000_000  # events of a run; one more ends it with an error
+MAX_EVENTS = 1_000_000  # bounds the memory of a run; one more raises OverflowError
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
+    """One entry of the record."""
+
     ms: float  # since the run began
-    source: str  # a router, a box, the hub or the rig
+    source: str  # a router, a media server, the hub, the rig or a viewer
     kind: str  # log, changed, fault, started, ended, ...
     details: dict[str, Any] = field(default_factory=dict)
 
 
 class Record:
-    """Written by many threads; `until` waits for what has to come, never for a time to pass."""
+    """Events of a run; all methods may be called from any thread."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -30,42 +32,49 @@
         self._changed = threading.Condition()
 
     def now(self) -> float:
+        """Milliseconds since the record began."""
         return (time.monotonic() - self.started_s) * 1000.0
 
     def add(self, event_source: str, event_kind: str, **details: Any) -> Event:
+        """Appends an event at the present time and wakes all `wait_until`."""
         with self._changed:
             if len(self.events) >= MAX_EVENTS:
-                raise OverflowError(f"a run holds {MAX_EVENTS} events at the most")
+                raise OverflowError(f"the record is full, it holds at most {MAX_EVENTS} events")
             event = Event(self.now(), event_source, event_kind, details)
             self.events.append(event)
             self._changed.notify_all()
         return event
 
     def wait_until(self, condition: Callable[[], bool], seconds: float, description: str) -> float:
-        """Milliseconds until it holds, asked again at each event; AssertionError where it doesn't come."""
-        begun = time.monotonic()
+        """Waits until `condition` holds, which is evaluated at each new event; returns the wait in ms.
+
+        Raises AssertionError with the end of the record after `seconds`.
+        """
+        started_s = time.monotonic()
         with self._changed:
             if not self._changed.wait_for(condition, seconds):
-                raise AssertionError(f"{description}: not within {seconds:.0f} s\n{self.tail()}")
-        return (time.monotonic() - begun) * 1000.0
+                raise AssertionError(f"{description}: not reached within {seconds:.0f} s\n{self.tail()}")
+        return (time.monotonic() - started_s) * 1000.0
 
     def pause(self, seconds: float) -> None:
-        """A schedule's time: for as long as faults are to last, not for what has to come."""
+        """Waits a fixed time, for the duration of a fault; to await an event use `wait_until`."""
         with self._changed:
             self._changed.wait_for(lambda: False, seconds)
 
     def events_of(self, kind: str, source: str | None = None, since_ms: float = 0.0) -> Iterator[Event]:
+        """The events of a kind, where given those of one source and at or after `since_ms`."""
         return (
             x for x in list(self.events) if x.kind == kind and x.ms >= since_ms and source in (None, x.source)
         )
 
     def tail(self, max_events: int = 60) -> str:
+        """The last events as lines of text."""
         return "\n".join(
             f"{x.ms:9.1f} {x.source:8} {x.kind:8} {x.details}" for x in self.events[-max_events:]
         )
 
     def write(self, path: Path) -> None:
-        """As lines of JSON."""
+        """Writes all events as lines of JSON."""
         with path.open("w", encoding="utf-8") as file:
             for x in self.events:
                 file.write(
--- a/cloverhinge/lab/rig.py
+++ b/cloverhinge/lab/rig.py
@@ -1,4 +1,4 @@
-"""A rig of real processes: routers behind a hub, boxes and a change log as stand-ins, faults, one record."""
+"""A rig: router processes behind a hub, with fake media servers and change logs, faults and one record."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 from cloverhinge.lab.record import Event, Record
 
 KEY = "lab-key-" * 5
-HUB_HOST_OFFSET = 128  # the hub's hosts follow the routers': 127.a.b.1 and 127.a.b.128 are one router's
+HUB_HOST_OFFSET = 128  # last byte of the address at the hub: 127.a.b.128 for the router at 127.a.b.1
 MAX_ROUTERS = 120
-START_TIMEOUT_S = 60.0  # for a start beside others on a busy machine; only a failing run waits so long
+START_TIMEOUT_S = 60.0  # for a start on a busy machine; only a failing run waits this long
 
 MEMBER_CHANGED = re.compile(
     r"(\S+): members: (\S+) (joined|returned|restarted|suspect|heard|dead|left), "
@@ -35,7 +35,7 @@
 
 
 class Router:
-    """One process of the program, and what its log has said."""
+    """One router of the rig: its process, over restarts, and its log."""
 
     def __init__(self, rig: Rig, number: int, site: str) -> None:
         self.rig, self.number, self.site, self.name = rig, number, site, f"r{number}"
@@ -45,10 +45,10 @@
         self.advertised = rig.hub.add_router(self.name, f"{rig.net}.{number + HUB_HOST_OFFSET}", self.host)
         self.process: subprocess.Popen[str] | None = None
         self.ports: dict[str, tuple[str, int]] = {}
-        self.view: tuple[int, str, int] | None = None  # number, digest, members in it
+        self.view: tuple[int, str, int] | None = None  # version, digest, number of members
         self.runs = 0
-        self.started_ms = 0.0  # of this run
-        self.change_log = FakeChangeLog()  # its own, as its gates to the boxes are
+        self.started_ms = 0.0  # start of the present run, ms since the record began
+        self.change_log = FakeChangeLog()  # of its own, as it sees other addresses of the media servers
         self.readers: list[threading.Thread] = []
 
     @property
@@ -56,7 +56,10 @@
         return self.process is not None and self.process.poll() is None
 
     def start(self, **settings: Any) -> None:
-        """Begins a new run under the same name; `until_started` waits for it."""
+        """Starts a new process under the same name without waiting; `wait_started` waits.
+
+        `settings` override those of the rig.
+        """
         rig = self.rig
         self.ports, self.view = {}, None
         self.runs += 1
@@ -65,10 +68,10 @@
             if rig.servers
             else {}
         )
-        told = Program.configuration(self.name, self.change_log, known, **{**rig.settings, **settings})
-        told["seed"] = f"{rig.seed * 1000 + self.number * 10 + self.runs:016x}"
-        told["listen"] = f"{self.host}:0"
-        (self.folder / "config.json").write_text(json.dumps(told))
+        config = Program.configuration(self.name, self.change_log, known, **{**rig.settings, **settings})
+        config["seed"] = f"{rig.seed * 1000 + self.number * 10 + self.runs:016x}"
+        config["listen"] = f"{self.host}:0"
+        (self.folder / "config.json").write_text(json.dumps(config))
         (self.folder / "site.toml").write_text(rig.site_file(self))
         self.process = subprocess.Popen(
             [sys.executable, *rig.program, "serve", "--site", str(self.folder / "site.toml")],
@@ -87,24 +90,24 @@
         assert process.stderr is not None
         for line in process.stderr:
             text = line.rstrip("\n")
-            if found := MEMBER_CHANGED.search(text):
-                self.view = int(found[6]), found[7], int(found[8])
+            if match := MEMBER_CHANGED.search(text):
+                self.view = int(match[6]), match[7], int(match[8])
                 record.add(
                     self.name,
                     "changed",
-                    name=found[2],
-                    to=found[3],
-                    incarnation=int(found[4]),
-                    reason=found[5],
-                    view=f"{found[6]}:{found[7]}",
-                    size=int(found[8]),
+                    name=match[2],
+                    to=match[3],
+                    incarnation=int(match[4]),
+                    reason=match[5],
+                    view=f"{match[6]}:{match[7]}",
+                    size=int(match[8]),
                 )
                 continue
-            if found := re.search(r": members: listening on (\S+):(\d+), known as", text):
-                self.rig.hub.attach(self.name, (found[1], int(found[2])))
-                self.ports["members"] = found[1], int(found[2])
-            elif found := re.search(r": (listening|admin|HLS) on (\S+?):(\d+)\b", text):
-                self.ports[found[1]] = found[2], int(found[3])
+            if match := re.search(r": members: listening on (\S+):(\d+), known as", text):
+                self.rig.hub.attach(self.name, (match[1], int(match[2])))
+                self.ports["members"] = match[1], int(match[2])
+            elif match := re.search(r": (listening|admin|HLS) on (\S+?):(\d+)\b", text):
+                self.ports[match[1]] = match[2], int(match[3])
             record.add(self.name, "log", line=text)
         code = process.wait()
         if process is self.process:
@@ -112,56 +115,65 @@
         record.add(self.name, "ended", code=code)
 
     def wait_started(self) -> None:
+        """Waits until the process listens for members and has logged a view."""
         self.rig.record.wait_until(
             lambda: "members" in self.ports and self.view is not None, START_TIMEOUT_S, f"{self.name} listens"
         )
 
     def signal(self, number: int) -> None:
+        """Sends a signal to the process and records it as a fault."""
         assert self.process is not None
         self.rig.record.add(self.name, "fault", signal=signal.Signals(number).name)
         self.process.send_signal(number)
 
     def kill(self) -> None:
+        """Kills the process and waits for its end."""
         self.signal(signal.SIGKILL)
         self.wait_ended()
 
     def pause(self) -> None:
+        """Sends SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
+        """Sends SIGCONT."""
         self.signal(signal.SIGCONT)
 
     def terminate(self) -> int:
-        """SIGTERM, and its exit code."""
+        """Sends SIGTERM and returns the exit code."""
         self.signal(signal.SIGTERM)
         return self.wait_ended()
 
     def wait_ended(self) -> int:
+        """Waits until the process has ended and its whole log is recorded; returns the exit code."""
         assert self.process is not None
-        life = self.runs
+        run = self.runs
         code = self.process.wait(TIMEOUT_S)
         self.rig.record.wait_until(
-            lambda: len(list(self.rig.record.events_of("ended", self.name))) >= life,
+            lambda: len(list(self.rig.record.events_of("ended", self.name))) >= run,
             TIMEOUT_S,
             f"{self.name} ends",
         )
         return code
 
     def status(self) -> dict[str, Any]:
-        with socket.create_connection(self.ports["admin"], TIMEOUT_S) as link, link.makefile("rb") as lines:
-            link.sendall(b"status\n")
-            told: dict[str, Any] = json.loads(lines.readline())
-        return told
+        """The status that the router reports at its admin address."""
+        with socket.create_connection(self.ports["admin"], TIMEOUT_S) as sock, sock.makefile("rb") as lines:
+            sock.sendall(b"status\n")
+            status: dict[str, Any] = json.loads(lines.readline())
+        return status
 
     def log_events(self, text: str) -> list[Event]:
+        """The recorded log lines that contain `text`, of all runs."""
         return [x for x in self.rig.record.events_of("log", self.name) if text in x.details["line"]]
 
 
 class Rig:
-    """`count` routers in `sites` sites by turns.
+    """`count` routers, spread evenly over `sites` sites, and what they talk to.
 
-    `tables` are further tables of their site files, `program` is what Python is started with.  Boxes are
-    behind the hub too, unless `gated` says no.
+    `members` override keys of the [members] table and `site_tables` is further text of the site files, where
+    {folder} stands for a router's folder.  `program` are the arguments of Python that start the program.  The
+    connections to media servers pass the hub too unless `uses_server_proxies` is false.
     """
 
     def __init__(
@@ -178,7 +190,7 @@
         **settings: Any,
     ) -> None:
         if count > MAX_ROUTERS:
-            raise ValueError(f"{count} routers, {MAX_ROUTERS} at most")
+            raise ValueError(f"{count} routers requested, at most {MAX_ROUTERS} are supported")
         self.folder, self.seed, self.servers, self.program = folder, seed, list(servers), list(program)
         self.settings: dict[str, Any] = {"fleetSize": count, **settings}
         self.members, self.site_tables, self.uses_server_proxies = (
@@ -186,13 +198,13 @@
             site_tables,
             uses_server_proxies,
         )
-        place = os.getpid() + 1009 * next(_rigs)  # two rigs of one machine do not meet
-        self.net = f"127.{10 + place // 250 % 200}.{place % 250}"
+        index = os.getpid() + 1009 * next(_rigs)  # rigs that run at the same time get different subnets
+        self.net = f"127.{10 + index // 250 % 200}.{index % 250}"
         self.record = Record()
         self.hub = Hub(self.record, seed)
-        self.server_proxies: dict[tuple[str, str], tuple[str, int]] = {}  # a router's way to a box
-        for box in self.recording_servers:
-            box.record = self.record
+        self.server_proxies: dict[tuple[str, str], tuple[str, int]] = {}  # address by (router, server)
+        for server in self.recording_servers:
+            server.record = self.record
         self.busy_loops: list[subprocess.Popen[bytes]] = []
         self.routers = [Router(self, n, f"s{n % sites}") for n in range(count)]
 
@@ -200,21 +212,22 @@
         return self.routers[number]
 
     def server_list(self, router: Router) -> list[dict[str, Any]]:
-        """The boxes as this router is told of them: at gates of the hub's."""
+        """The entries of the media servers for one router, with the addresses of its proxies at the hub."""
         if not self.uses_server_proxies:
-            return [pump.list_entry() for pump in self.servers]
-        rows = []
-        for pump in self.servers:
-            pair = router.name, pump.name
+            return [server.list_entry() for server in self.servers]
+        entries = []
+        for server in self.servers:
+            pair = router.name, server.name
             if pair not in self.server_proxies:
-                host, port = pump.address.rsplit(":", 1)
+                host, port = server.address.rsplit(":", 1)
                 self.server_proxies[pair] = self.hub.add_server_proxy(
                     *pair, router.advertised[0], (host, int(port))
                 )
-            rows.append({**pump.list_entry(), "hostPort": "%s:%d" % self.server_proxies[pair][:2]})
-        return rows
+            entries.append({**server.list_entry(), "hostPort": "%s:%d" % self.server_proxies[pair][:2]})
+        return entries
 
     def site_file(self, router: Router) -> str:
+        """The text of a router's site file."""
         join = ", ".join('"%s:%d"' % x.advertised for x in self.routers[:3])
         own = {
             "listen": f"{router.host}:0",
@@ -235,20 +248,26 @@
 
     @property
     def recording_servers(self) -> list[RecordingMediaServer]:
+        """The media servers that record what they are asked."""
         return [x for x in self.servers if isinstance(x, RecordingMediaServer)]
 
     def poll(
         self, description: str, condition: Callable[[], bool], seconds: float, pause_s: float = 0.05
     ) -> None:
-        """For what only a router's status tells: asked again and again."""
+        """Polls a condition that no recorded event shows, such as a value in a router's status.
+
+        Raises AssertionError with the end of the record after `seconds`.
+        """
         deadline = time.monotonic() + seconds
         while not condition():
             if time.monotonic() > deadline:
-                raise AssertionError(f"{description}: not within {seconds:.0f} s\n{self.record.tail()}")
+                raise AssertionError(
+                    f"{description}: not reached within {seconds:.0f} s\n{self.record.tail()}"
+                )
             self.record.pause(pause_s)
 
     def publish(self, states: dict[str, str]) -> None:
-        """A change of boxes, by name, to all routers: to each with its own gates."""
+        """Publishes lifecycle states, by the name of the media server, to all routers."""
         for router in self.routers:
             router.change_log.publish(
                 [
@@ -258,25 +277,28 @@
                 ]
             )
 
-    # Groups
+    # Groups of routers
 
     def names(self, routers: Sequence[Router]) -> list[str]:
+        """The names of these routers."""
         return [x.name for x in routers]
 
     def agreed(self, routers: Sequence[Router]) -> bool:
+        """Whether all of these last logged the same view with as many members as they are."""
         views = {x.view for x in routers}
         view = next(iter(views))
         return len(views) == 1 and view is not None and view[2] == len(routers)
 
     def wait_agreed(self, routers: Sequence[Router] | None = None, seconds: float = TIMEOUT_S) -> float:
-        """How long in ms until these, and no others, are one view at all of them."""
-        those = [x for x in self.routers if x.running] if routers is None else routers
+        """Waits until `agreed` for these, by default all that run; returns the wait in ms."""
+        expected = [x for x in self.routers if x.running] if routers is None else routers
         try:
-            return self.record.wait_until(lambda: self.agreed(those), seconds, "one view")
+            return self.record.wait_until(lambda: self.agreed(expected), seconds, "one view")
         except AssertionError as error:
-            raise AssertionError(f"{error}\n{[(x.name, x.view) for x in those]}") from None
+            raise AssertionError(f"{error}\n{[(x.name, x.view) for x in expected]}") from None
 
     def start(self) -> None:
+        """Starts all routers and waits until they agree on one view."""
         for router in self.routers:
             router.start()
         for router in self.routers:
@@ -284,13 +306,13 @@
         self.wait_agreed(seconds=START_TIMEOUT_S)
 
     def start_busy_loops(self, processors: int) -> None:
-        """Busy loops that share the cores with the routers, until `relieve`."""
+        """Starts processes that compete with the routers for CPU time until `stop_busy_loops`."""
         for _ in range(processors):
             self.busy_loops.append(subprocess.Popen([sys.executable, "-c", "while True: pass"]))
         self.record.add("rig", "fault", busy=processors)
 
     def share_core(self, router: Router) -> None:
-        """One core for this router and a busy loop, until `relieve`."""
+        """Pins this router and a busy loop to one core until `stop_busy_loops`."""
         assert router.process is not None
         cores = sorted(os.sched_getaffinity(0))
         core = {cores[router.number % len(cores)]}
@@ -299,10 +321,11 @@
             os.sched_setaffinity(process, core)
 
     def names_of_site(self, site: str) -> list[str]:
-        """Names, for faults by site: `hub.cut(of_site("s0"), of_site("s1"))`."""
+        """The names of a site's routers, as `Hub.cut` takes them."""
         return [x.name for x in self.routers if x.site == site]
 
     def stop_busy_loops(self) -> None:
+        """Ends all busy loops and lets the routers use all cores again."""
         for process in self.busy_loops:
             process.kill()
             process.wait()
@@ -313,13 +336,14 @@
         self.record.add("rig", "relieved")
 
     def stop(self) -> None:
+        """Kills all processes and closes all listeners."""
         self.stop_busy_loops()
         for router in self.routers:
             if router.process is not None:
                 with suppress(ProcessLookupError):
                     router.process.kill()
                 router.process.wait()
-            for reader in router.readers:  # they tell the hub of the end, so it has to be there still
+            for reader in router.readers:  # they call the hub when a process ends, so it stops after them
                 reader.join(TIMEOUT_S)
         for listener in (*self.servers, *(x.change_log for x in self.routers)):
             listener.stop()
@@ -328,12 +352,12 @@
 
 @contextmanager
 def running_rig(folder: Path, count: int, **more: Any) -> Iterator[Rig]:
-    """A started rig, ended in any case; no router may have raised what nobody caught."""
+    """Runs a started rig and stops it at the end; no router may have logged a traceback."""
     made = Rig(folder, count, **more)
     try:
         made.start()
         yield made
-        broken = [x for x in made.record.events_of("log") if "Traceback" in x.details["line"]]
-        assert not broken, made.record.tail(200)
+        tracebacks = [x for x in made.record.events_of("log") if "Traceback" in x.details["line"]]
+        assert not tracebacks, made.record.tail(200)
     finally:
         made.stop()
--- a/cloverhinge/lab/schedule.py
+++ b/cloverhinge/lab/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of faults: from a file or a seed, played on a rig by time."""
+"""Schedules of faults, read from a file or drawn from a seed, and run on a rig."""
 
 from __future__ import annotations
 
@@ -31,103 +31,106 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
+    """One action of a schedule, `at_s` seconds after its start."""
+
     at_s: float
     action: str
-    routers: tuple[int, ...] = ()  # numbers of routers
+    routers: tuple[int, ...] = ()  # indices in the rig
     others: tuple[int, ...] = ()
-    parameters: dict[str, Any] = field(
-        default_factory=dict
-    )  # of ways: loss, delay_ms, ...; of starve: processors
+    parameters: dict[str, Any] = field(default_factory=dict)  # link conditions, or the number of processors
 
 
 def read_schedule(path: Path) -> list[Step]:
-    """A TOML file of [[step]] tables; ValueError with the number of the step at fault."""
+    """Reads a TOML file of [[step]] tables; returns the steps in order of time.
+
+    Raises ValueError with the number of the first invalid step, from 1.
+    """
     steps = []
-    for at, one in enumerate(tomllib.loads(path.read_text(encoding="utf-8")).get("step", []), 1):
-        told = dict(one)
+    for number, table in enumerate(tomllib.loads(path.read_text(encoding="utf-8")).get("step", []), 1):
+        parameters = dict(table)
         try:
             step = Step(
-                float(told.pop("at_s")),
-                str(told.pop("act")),
-                tuple(told.pop("who", ())),
-                tuple(told.pop("others", ())),
-                told,
+                float(parameters.pop("at_s")),
+                str(parameters.pop("act")),
+                tuple(parameters.pop("who", ())),
+                tuple(parameters.pop("others", ())),
+                parameters,
             )
         except (KeyError, TypeError, ValueError) as error:
-            raise ValueError(f"{path}: step {at}: {error}") from None
+            raise ValueError(f"{path}: step {number}: {error}") from None
         if step.action not in ACTIONS:
-            raise ValueError(f"{path}: step {at}: nothing is called {step.action}")
+            raise ValueError(f"{path}: step {number}: nothing is called {step.action}")
         steps.append(step)
     return sorted(steps, key=lambda x: x.at_s)
 
 
 def random_pauses(seed: int, routers: int, seconds: float, every_s: float, max_s: float) -> list[Step]:
-    """Random pauses of up to `most_s`, one router at a time, every `every_s` on the mean."""
-    draw, now, steps = random.Random(seed), 0.0, []
-    while (now := now + draw.expovariate(1.0 / every_s)) < seconds - max_s:
-        who, lasts = (draw.randrange(routers),), draw.uniform(0.1, max_s)
-        steps += [Step(now, "pause", who), Step(now + lasts, "wake", who)]
-        now += lasts
+    """Draws random pauses of 0.1 to `max_s` seconds, one router at a time, on average `every_s` apart."""
+    rng, now, steps = random.Random(seed), 0.0, []
+    while (now := now + rng.expovariate(1.0 / every_s)) < seconds - max_s:
+        routers_paused, duration = (rng.randrange(routers),), rng.uniform(0.1, max_s)
+        steps += [Step(now, "pause", routers_paused), Step(now + duration, "wake", routers_paused)]
+        now += duration
     return steps
 
 
 def random_faults(seed: int, routers: int, seconds: float, every_s: float) -> list[Step]:
-    """Random kills with restarts, pauses and cuts, one after the other, each undone before the next."""
-    draw, now, steps = random.Random(seed), 0.0, []
-    while (now := now + draw.uniform(0.5, 1.5) * every_s) < seconds - every_s:
-        some = tuple(sorted(draw.sample(range(routers), draw.randint(1, max(1, routers // 2)))))
-        rest = tuple(x for x in range(routers) if x not in some)
-        until = now + draw.uniform(0.2, 0.9) * every_s
-        match draw.choice(("kill", "pause", "cut", "mute")):
+    """Draws random kills with restarts, pauses and cuts, each undone before the next."""
+    rng, now, steps = random.Random(seed), 0.0, []
+    while (now := now + rng.uniform(0.5, 1.5) * every_s) < seconds - every_s:
+        chosen = tuple(sorted(rng.sample(range(routers), rng.randint(1, max(1, routers // 2)))))
+        rest = tuple(x for x in range(routers) if x not in chosen)
+        until = now + rng.uniform(0.2, 0.9) * every_s
+        match rng.choice(("kill", "pause", "cut", "mute")):
             case "kill":
-                steps += [Step(now, "kill", some[:2]), Step(until, "start", some[:2])]
+                steps += [Step(now, "kill", chosen[:2]), Step(until, "start", chosen[:2])]
             case "pause":
-                steps += [Step(now, "pause", some[:1]), Step(until, "wake", some[:1])]
+                steps += [Step(now, "pause", chosen[:1]), Step(until, "wake", chosen[:1])]
             case act:
-                steps += [Step(now, act, some, rest), Step(until, "heal")]
+                steps += [Step(now, act, chosen, rest), Step(until, "heal")]
         now = until
     return steps
 
 
 def run_schedule(rig: Rig, steps: Sequence[Step]) -> None:
-    """Each step at its time, counted from the call; what is behind its time is done at once."""
-    begun = rig.record.now()
+    """Performs each step at its time after the call; a step that is late is performed at once."""
+    start_ms = rig.record.now()
     for step in steps:
-        left = begun + step.at_s * 1000.0 - rig.record.now()
-        if left > 0.0:
-            rig.record.pause(left / 1000.0)
+        left_ms = start_ms + step.at_s * 1000.0 - rig.record.now()
+        if left_ms > 0.0:
+            rig.record.pause(left_ms / 1000.0)
         _perform(rig, step)
 
 
 def _perform(rig: Rig, step: Step) -> None:
-    who, others = [rig[x] for x in step.routers], [rig[x] for x in step.others]
+    routers, others = [rig[x] for x in step.routers], [rig[x] for x in step.others]
     match step.action:
         case "kill":
-            for one in who:
-                one.kill()
+            for router in routers:
+                router.kill()
         case "start":
-            for one in who:
-                one.start()
+            for router in routers:
+                router.start()
         case "pause":
-            for one in who:
-                one.pause()
+            for router in routers:
+                router.pause()
         case "wake":
-            for one in who:
-                one.resume()
+            for router in routers:
+                router.resume()
         case "terminate":
-            for one in who:
-                one.terminate()
+            for router in routers:
+                router.terminate()
         case "cut" | "mute":
-            rig.hub.cut(rig.names(who), rig.names(others), both=step.action == "cut")
+            rig.hub.cut(rig.names(routers), rig.names(others), both=step.action == "cut")
         case "ways":
             rig.hub.change_default(**step.parameters)
         case "heal":
             rig.hub.heal()
         case "hold" | "let_go" | "reset":
             call = getattr(rig.hub, step.action)
-            for one in who:
+            for router in routers:
                 for other in others:
-                    call(one.name, other.name)
+                    call(router.name, other.name)
         case "starve":
             rig.start_busy_loops(**step.parameters)
         case "relieve":
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -122,7 +122,7 @@
 def test_a_pump_that_closes_every_connection_is_not_called_without_end(tmp_path: Path) -> None:
     """Guards against a loop of connections at the network's pace."""
     with running_program(tmp_path, 2) as (program, pumps, _):
-        pumps[0].serve = lambda wire: wire.close()  # type: ignore[method-assign]
+        pumps[0].serve = lambda connection: connection.close()  # type: ignore[method-assign]
         for wire in pumps[0].connections:
             wire.close()
         viewer = program.connect()
--- a/tests/test_operations_network.py
+++ b/tests/test_operations_network.py
@@ -200,7 +200,7 @@
 
 def test_a_new_process_that_never_says_yes_takes_nothing_from_the_old_one(tmp_path: Path) -> None:
     with inherited(tmp_path) as (old, _, log):
-        log.serve = lambda wire: None  # type: ignore[method-assign]
+        log.serve = lambda connection: None  # type: ignore[method-assign]
         new = copy.copy(old)
         with pytest.raises(AssertionError):  # it waits for the list, and is stopped meanwhile
             new.wait_for = lambda pattern: stopped(new, pattern)  # type: ignore[method-assign]
