--- a/tests/test_lab_ownership.py
+++ b/tests/test_lab_ownership.py
@@ -62,7 +62,7 @@
 
 
 @contextmanager
-def delayed_set_up(made: Rig, gate: str = "before", noted: str = "asked") -> Iterator[threading.Thread]:
+def delayed_set_up(made: Rig, gate: str = "may_set_up", noted: str = "asked") -> Iterator[threading.Thread]:
     """A paid fetch of `t0` at r1 whose set-up the media servers delay; enters once they record `noted`."""
     for box in made.recording_servers:
         getattr(box, gate).clear()
@@ -85,7 +85,7 @@
 
 def test_killed_once_the_box_has_it_before_the_viewer_is_told(tmp_path: Path) -> None:
     with replicating_rig(tmp_path) as made:
-        with delayed_set_up(made, "after", "stands") as first:
+        with delayed_set_up(made, "may_answer", "stands") as first:
             made[1].kill()
             first.join(BUSY_TIMEOUT_S)
         assert final_answer(made, made[2], 0)[0] == 502
