--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -33,7 +33,7 @@
     sessions_per_server: int = 25,
     **more: Any,
 ) -> tuple[World, AdmissionGateway]:
-    simulation = World(settings(boxes, sessions_per_server, **more), list(crowds), boxes=boxes)
+    simulation = World(settings(boxes, sessions_per_server, **more), list(crowds), servers=boxes)
     named = zip((MAPLE, BIRCH, ALDER), weights, strict=True)
     clients = [replace(one, weight=weight) for one, weight in named]
     site = AdmissionSettings(b"k" * 32, 512, 2048, 60_000.0, (*clients, ClientSettings("others")))
@@ -53,7 +53,7 @@
     small, large = crowd("maple", 3.0), crowd("birch", 50.0)  # capacity for 10 a second
     simulation, gateway = world(small, large)
     simulation.run(60_000.0)
-    assert small.tally.served >= 0.97 * small.tally.came
+    assert small.tally.served >= 0.97 * small.tally.arrived
     assert rows(gateway)["birch"]["kept"] > 50
     assert rows(gateway)["birch"]["broken"] <= 0.05 * rows(gateway)["birch"]["kept"]
     assert rows(gateway)["birch"]["near"] >= 0.9 * rows(gateway)["birch"]["kept"]
@@ -143,7 +143,7 @@
         monkeypatch.setattr(request.client, "refused", lambda *_, n=request.handle: refusals.update([n]))
     gateway.close()
     assert not gateway.queue.waiting and sorted(refusals.values()) == [1] * len(waiting)
-    simulation.crowds[0].returning = simulation.crowds[1].returning = 0.0
+    simulation.crowds[0].return_share = simulation.crowds[1].return_share = 0.0
     before = simulation.router.counters.attempts
     simulation.run(500.0)
     assert simulation.router.counters.attempts == before, "no request is admitted any more"
--- a/tests/test_lab_ownership.py
+++ b/tests/test_lab_ownership.py
@@ -26,7 +26,9 @@
 
 @contextmanager
 def replicating_rig(folder: Path, count: int = 5, titles: int = 20) -> Iterator[Rig]:
-    with viewers.replicating_rig(folder, count, titles, idle_s=120.0, program=guards.program()) as made:
+    with viewers.replicating_rig(
+        folder, count, titles, idle_s=120.0, program=guards.router_command()
+    ) as made:
         yield made
         repeated = {title: n for title, n in set_ups_by_title(made.record).items() if n > 1}
         assert not repeated, (repeated, made.record.tail())
@@ -308,7 +310,7 @@
         3,
         servers=[FakeMediaServer("s-00000000", 0)],
         site_tables=tables,
-        program=guards.program(),
+        program=guards.router_command(),
         uses_server_proxies=False,
         specifics=settings,
     ) as made:
--- a/tests/test_lab_store.py
+++ b/tests/test_lab_store.py
@@ -24,7 +24,7 @@
 def rig_with_stores(path: Path, count: int = 5, titles: int = 20) -> Iterator[Rig]:
     """Routers with stores; at the end, no paid play may have been set up twice."""
     with viewers.replicating_rig(
-        path, count, titles, idle_s=120.0, program=guards.program(), stores=True
+        path, count, titles, idle_s=120.0, program=guards.router_command(), stores=True
     ) as made:
         yield made
         repeated = {title: n for title, n in set_ups_by_title(made.record).items() if n > 1}
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -178,7 +178,7 @@
 
     A server at its limit of connections refuses new ones as well, and its sessions must not be cut for that.
     """
-    with running_program(tmp_path, 1, program=guards.program()) as (program, servers, _):
+    with running_program(tmp_path, 1, program=guards.router_command()) as (program, servers, _):
         port = servers[0].socket.getsockname()[1]
         servers[0].stop()
         client = program.connect()
--- a/tests/test_operations_network.py
+++ b/tests/test_operations_network.py
@@ -29,7 +29,7 @@
 from cloverhinge.operations import console
 from tests import guards
 
-site = partial(harness.running_program, program=guards.program())
+site = partial(harness.running_program, program=guards.router_command())
 COUNTERS = {"ok", "shed", "errors", "tries"}
 
 
