--- a/benchmarks/custody.py
+++ b/benchmarks/custody.py
@@ -1,9 +1,9 @@
-"""Custody measured: on real processes behind the lab's hub, and its records alone where there are many.
+"""Measures ownership: with real processes behind the lab's hub, and its records alone for larger numbers.
 
     python -m benchmarks.custody [kills [N] | wait | setups | both | flood | records | soak [MINUTES]] ...
 
-Without a part all are run (an hour, half of it the soak); with parts, the others keep their last figures,
-which docs/results/custody.json holds.
+Without arguments all parts run (an hour, half of it the soak); otherwise the parts that are not named keep
+their last figures, which docs/results/custody.json holds.
 """
 
 from __future__ import annotations
@@ -38,41 +38,43 @@
 
 
 def start_rig(folder: Path, on: bool, titles: int = 2000) -> AbstractContextManager[Rig]:
+    """Starts five routers, with ownership or without."""
     return viewers.replicating_rig(folder, 5, titles, 600.0, on, program=OPTIMIZED)
 
 
-def wait_until(made: Rig, what: str, holds: Callable[..., bool]) -> None:
-    made.poll(what, holds, TIMEOUT_S, 0.02)
+def wait_until(made: Rig, description: str, condition: Callable[..., bool]) -> None:
+    made.poll(description, condition, TIMEOUT_S, 0.02)
 
 
 def final_status(made: Rig, router: Router, number: int) -> int:
+    """Fetches a play until its answer is final; returns the status."""
     return viewers.final_answer(made, router, number, seconds=TIMEOUT_S)[0]
 
 
 def end_all_sessions(made: Rig) -> None:
-    """The boxes end all, so that there is room for the next ones."""
-    for box in made.recording_servers:
-        for session in list(box.sessions):
-            box.end_session(session)
-    wait_until(made, "all ends are heard", lambda: sum(x.status()["standing"] for x in made.routers) == 0)
-    for box in made.recording_servers:
-        box.ended_sessions.clear()
+    """Ends all sessions at the media servers, which frees capacity for the next ones."""
+    for server in made.recording_servers:
+        for session in list(server.sessions):
+            server.end_session(session)
+    wait_until(made, "all ends are reported", lambda: sum(x.status()["standing"] for x in made.routers) == 0)
+    for server in made.recording_servers:
+        server.ended_sessions.clear()
 
 
 def measure_kills(on: bool, kills: int) -> dict[str, object]:
-    """A router with ten paid plays that stand is killed; the same plays are fetched at others."""
-    draw, number, owned, answers = random.Random(3), 0, [], Counter[int]()
+    """Kills a router with ten established paid plays, and fetches the plays at other routers."""
+    rng, number, takeover_ms, answers = random.Random(3), 0, [], Counter[int]()
     with tempfile.TemporaryDirectory() as name, start_rig(Path(name), on) as made:
         for _ in range(kills):
-            victim = made[draw.randrange(5)]
+            victim = made[rng.randrange(5)]
             plays = range(number, number + PLAYS)
             number += PLAYS
-            for one in plays:
-                told = final_status(made, victim, one)
-                assert told == 200, (on, one, told, made.record.tail())
+            for play_number in plays:
+                status = final_status(made, victim, play_number)
+                assert status == 200, (on, play_number, status, made.record.tail())
             others = [x for x in made.routers if x is not victim]
             before = sum(ownership_status(x)["taken_over"] for x in others) if on else 0
-            at = made.record.now()
+            killed_ms = made.record.now()
             victim.kill()
             if on:
                 try:
@@ -85,16 +87,22 @@
                         >= before + PLAYS,
                     )
                 except AssertionError as error:
-                    known = [
-                        (one, [console.query(x.ports["admin"], f"custody play-{one:08d}") for x in others])
-                        for one in plays
+                    states = [
+                        (
+                            play_number,
+                            [
+                                console.query(x.ports["admin"], f"custody play-{play_number:08d}")
+                                for x in others
+                            ],
+                        )
+                        for play_number in plays
                     ]
                     raise AssertionError(
-                        f"{known}\n{[ownership_status(x) for x in others]}\n{error}"
+                        f"{states}\n{[ownership_status(x) for x in others]}\n{error}"
                     ) from None
-                owned.append(made.record.now() - at)
-            for one in plays:
-                answers[final_status(made, draw.choice(others), one)] += 1
+                takeover_ms.append(made.record.now() - killed_ms)
+            for play_number in plays:
+                answers[final_status(made, rng.choice(others), play_number)] += 1
             victim.start()
             victim.wait_started()
             made.wait_agreed(seconds=30.0)
@@ -113,40 +121,42 @@
         "set up twice": twice,
         "ended at the boxes": released,
     }
-    times = summary(owned) if owned else {"p50 ms": "", "p99 ms": "", "most ms": ""}
+    times = summary(takeover_ms) if takeover_ms else {"p50 ms": "", "p99 ms": "", "most ms": ""}
     return row | {f"owned again, {k}": v for k, v in times.items() if k != "n"}
 
 
 def kills(count: int = 100) -> Rows:
+    """Compares kills without ownership (a tenth of the count, at least 5) and with it."""
     return [measure_kills(False, max(5, count // 10)), measure_kills(True, count)]
 
 
 def sequential_set_ups(made: Rig, router: Router, kind: str, first: int, count: int) -> list[float]:
-    """Set-ups over RTSP one after the other on one connection; ms until each answer."""
-    took = []
+    """Sets up sessions one after the other over RTSP; returns the ms until each answer with 200."""
+    delays_ms = []
     wire, _ = set_up(made, router, f"{first:016x}", "t0", kind)
     wire.send("TEARDOWN rtsp://media/x RTSP/1.0", f"{first:016x}", 2)
     read_answer(wire)
     for number in range(first + 1, first + count):
-        session, begun = f"{number:016x}", time.monotonic()
+        session, started = f"{number:016x}", time.monotonic()
         viewers.send_titled_set_up(wire, session, "t0", kind)
-        told = read_answer(wire)
-        if told.status != 200:
-            made.record.pause(0.2)  # a cold box takes a few at a time
+        response = read_answer(wire)
+        if response.status != 200:
+            made.record.pause(0.2)  # a cold media server accepts only a few at a time
             continue
-        took.append((time.monotonic() - begun) * 1000.0)
+        delays_ms.append((time.monotonic() - started) * 1000.0)
         wire.send("TEARDOWN rtsp://media/x RTSP/1.0", session, 2)
         read_answer(wire)
     wire.close()
-    return took
+    return delays_ms
 
 
 def rig_with_fast_servers(folder: Path, on: bool) -> Any:
-    boxes = [StatelessMediaServer(f"s-{n:08x}", n) for n in range(2)]
+    """Starts five routers with media servers that answer at once, with ownership or without."""
+    servers = [StatelessMediaServer(f"s-{n:08x}", n) for n in range(2)]
     return running_rig(
         folder,
         5,
-        servers=boxes,
+        servers=servers,
         uses_server_proxies=False,
         program=OPTIMIZED,
         fleetSize=1,
@@ -155,8 +165,8 @@
 
 
 def waits(count: int = 1000) -> Rows:
-    """The same set-ups at a router of five with custody and one of five without, by turns."""
-    took: dict[tuple[str, str], list[float]] = {}
+    """Compares the delay of set-ups at one of five routers, by turns with ownership and without."""
+    delays_ms: dict[tuple[str, str], list[float]] = {}
     with tempfile.TemporaryDirectory() as name:
         (Path(name) / "on").mkdir()
         (Path(name) / "off").mkdir()
@@ -167,19 +177,19 @@
             wait_replica_set(on)
             for turn in range(10):
                 for kind in ("paid", "free"):
-                    for word, made in (("off", off), ("on", on)):
+                    for mode, made in (("off", off), ("on", on)):
                         first = turn * 10_000 + 1 + (5000 if kind == "paid" else 0)
-                        took.setdefault((kind, word), []).extend(
+                        delays_ms.setdefault((kind, mode), []).extend(
                             sequential_set_ups(made, made[0], kind, first, count // 10)
                         )
     rows: Rows = []
     for kind in ("paid", "free"):
-        for word in ("off", "on"):
-            values = took[kind, word]
+        for mode in ("off", "on"):
+            values = delays_ms[kind, mode]
             rows.append(
                 {
                     "class": kind,
-                    "custody": word,
+                    "custody": mode,
                     "n": len(values),
                     "p50 ms": percentile(values, 0.5),
                     "p99 ms": percentile(values, 0.99),
@@ -190,42 +200,42 @@
 
 
 def setups(rounds: int = 4, seconds: float = 1.5) -> Rows:
-    """Closed loop of six lines at one router of five, by turns with custody and without."""
+    """Compares set-ups in a closed loop of six connections at one of five routers, ownership on and off."""
     from concurrent.futures import ProcessPoolExecutor
     from multiprocessing import get_context
 
     from benchmarks.members import run_closed_loop
 
-    seen: dict[str, list[tuple[int, float, list[float]]]] = {"off": [], "on": []}
+    results: dict[str, list[tuple[int, float, list[float]]]] = {"off": [], "on": []}
     viewers = ProcessPoolExecutor(1, mp_context=get_context("spawn"))
     with tempfile.TemporaryDirectory() as name, viewers as pool:
         for turn in range(rounds):
             folder = Path(name) / str(turn)
-            for word in ("on", "off"):
-                (folder / word).mkdir(parents=True)
+            for mode in ("on", "off"):
+                (folder / mode).mkdir(parents=True)
             with (
                 rig_with_fast_servers(folder / "on", True) as on,
                 rig_with_fast_servers(folder / "off", False) as off,
             ):
                 wait_replica_set(on)
                 for part in range(4):
-                    for word, made in (("off", off), ("on", on))[:: 1 if part % 2 else -1]:
+                    for mode, made in (("off", off), ("on", on))[:: 1 if part % 2 else -1]:
                         process = made[0].process
                         assert process is not None
-                        seen[word].append(
+                        results[mode].append(
                             pool.submit(
                                 run_closed_loop, made[0].ports["listening"], process.pid, seconds
                             ).result()
                         )
     rows: Rows = []
-    for word, all_ in seen.items():
-        count = sum(x[0] for x in all_)
+    for mode, runs in results.items():
+        count = sum(x[0] for x in runs)
         rows.append(
             {
-                "custody": word,
-                "set-ups a second": count / len(all_) / seconds,
-                "a second of its processor": count / sum(x[1] for x in all_),
-                "p99 ms": percentile([y for x in all_ for y in x[2]], 0.99),
+                "custody": mode,
+                "set-ups a second": count / len(runs) / seconds,
+                "a second of its processor": count / sum(x[1] for x in runs),
+                "p99 ms": percentile([y for x in runs for y in x[2]], 0.99),
             }
         )
     off_, on_ = rows
@@ -239,7 +249,7 @@
 
 
 class CoresInProcess:
-    """Three routers' machines in one process, messages carried by hand."""
+    """The ownership cores of three routers in one process, with messages delivered directly."""
 
     def __init__(self) -> None:
         members = [Member(f"r{n}", n + 1, "main") for n in range(3)]
@@ -260,8 +270,8 @@
     def tick(self, times: int = 1) -> None:
         for _ in range(times):
             self.now += core.TICK_MS
-            for who, machine in self.cores.items():
-                self.carry_out(who, machine.tick(self.now))
+            for own_id, machine in self.cores.items():
+                self.carry_out(own_id, machine.tick(self.now))
 
     def add_record(self, number: int, body: bytes) -> None:
         id, owner = f"h/{number:032x}", self.owner
@@ -272,33 +282,33 @@
 
 
 def records() -> Rows:
-    """Bytes and time a session."""
+    """Measures the bytes held and sent, and the processor time, for each session."""
     rows: Rows = []
     for count in (1000, 10_000, 50_000):
-        made, body = CoresInProcess(), b"x" * 120  # what a front keeps of a session, about
-        begun, before = time.process_time(), made.bytes
+        made, body = CoresInProcess(), b"x" * 120  # about the size of a front's record of a session
+        started, before = time.process_time(), made.bytes
         for number in range(count):
             made.add_record(number, body)
             if number % 100 == 0:
                 made.tick()
-        took, size = time.process_time() - begun, made.bytes - before
+        used_s, size = time.process_time() - started, made.bytes - before
         assert len(made.owner.owned) == count
-        begun = time.process_time()
+        started = time.process_time()
         made.tick(80)  # two seconds
-        idle = (time.process_time() - begun) / 2.0 / 3.0
+        idle = (time.process_time() - started) / 2.0 / 3.0
         del made
         tracemalloc.start()
         made = CoresInProcess()
         for number in range(min(count, 10_000)):
             made.add_record(number, body)
-        held = tracemalloc.get_traced_memory()[0] / min(count, 10_000)
+        bytes_held = tracemalloc.get_traced_memory()[0] / min(count, 10_000)
         tracemalloc.stop()
         rows.append(
             {
                 "sessions": count,
-                "bytes held a session, three routers": held,
+                "bytes held a session, three routers": bytes_held,
                 "bytes sent a session": size / count,
-                "us a session, three routers": took / count * 1e6,
+                "us a session, three routers": used_s / count * 1e6,
                 "processor of one router when nothing happens": f"{idle:.2%}",
             }
         )
@@ -306,8 +316,8 @@
 
 
 def soak(minutes: float) -> Rows:
-    """Random kills, pauses, cuts and losses; viewers come at any router and come again elsewhere."""
-    draw, answers, faults = random.Random(17), Counter[str](), Counter[str]()
+    """Injects random kills, pauses, partitions and losses while viewers fetch plays at any of the routers."""
+    rng, answers, faults = random.Random(17), Counter[str](), Counter[str]()
     with tempfile.TemporaryDirectory() as name, start_rig(Path(name), True, titles=20_000) as made:
         until_ms, number = made.record.now() + minutes * 60_000.0, 0
         paused: dict[int, float] = {}
@@ -323,31 +333,31 @@
                     made[at].start()
                     made[at].wait_started()
                     del dead[at]
-            here = [x for x in range(5) if x not in paused and x not in dead]
-            dice = draw.random()
-            if dice < 0.04 and not dead and len(here) > 3:
-                at = draw.choice(here)
+            running = [x for x in range(5) if x not in paused and x not in dead]
+            roll = rng.random()
+            if roll < 0.04 and not dead and len(running) > 3:
+                at = rng.choice(running)
                 made[at].kill()
-                dead[at] = now + draw.uniform(500.0, 6000.0)
+                dead[at] = now + rng.uniform(500.0, 6000.0)
                 faults["kills"] += 1
-            elif dice < 0.08 and not paused and len(here) > 3:
-                at = draw.choice(here)
+            elif roll < 0.08 and not paused and len(running) > 3:
+                at = rng.choice(running)
                 made[at].pause()
-                paused[at] = now + draw.uniform(100.0, 5000.0)
+                paused[at] = now + rng.uniform(100.0, 5000.0)
                 faults["pauses"] += 1
-            elif dice < 0.10:
-                at = draw.choice(here)
-                made.hub.cut([f"r{at}"], [f"r{x}" for x in range(5) if x != at], both=draw.random() < 0.5)
+            elif roll < 0.10:
+                at = rng.choice(running)
+                made.hub.cut([f"r{at}"], [f"r{x}" for x in range(5) if x != at], both=rng.random() < 0.5)
                 faults["cuts"] += 1
-            elif dice < 0.16:
+            elif roll < 0.16:
                 made.hub.heal()
-                made.hub.change_default(loss=draw.choice((0.0, 0.0, 0.1, 0.2)))
+                made.hub.change_default(loss=rng.choice((0.0, 0.0, 0.1, 0.2)))
             else:
-                at = draw.choice(here)
-                again = number > 0 and draw.random() < 0.6
-                one = draw.randrange(max(0, number - 30), number) if again else number
-                number = max(number, one + 1)
-                code, _ = fetch_manifest(made, made[at], one)
+                at = rng.choice(running)
+                again = number > 0 and rng.random() < 0.6
+                play_number = rng.randrange(max(0, number - 30), number) if again else number
+                number = max(number, play_number + 1)
+                code, _ = fetch_manifest(made, made[at], play_number)
                 answers[str(code or "lost")] += 1
         made.hub.heal()
         for at in paused:
@@ -368,14 +378,14 @@
 
 
 def both(count: int = 1000) -> Rows:
-    """Two fetches of one play at two routers at once."""
+    """Fetches each play at two routers at the same time."""
     answers: Counter[int] = Counter()
     with (
         tempfile.TemporaryDirectory() as name,
         start_rig(Path(name), True) as made,
         ThreadPoolExecutor(2) as pool,
     ):
-        begun = made.record.now()
+        started_ms = made.record.now()
         for number in range(count):
             at = made[number % 5], made[(number + 1 + number // 5 % 4) % 5]
             answers.update(pool.map(lambda router, number=number: final_status(made, router, number), at))
@@ -388,28 +398,30 @@
                 "answers": 2 * count,
                 "answered 200": answers[200],
                 "set up twice": sum(x > 1 for x in counts.values()),
-                "ms a pair": (made.record.now() - begun) / count,
+                "ms a pair": (made.record.now() - started_ms) / count,
             }
         ]
 
 
 def flood(seconds: float = 60.0) -> Rows:
-    """One of five is killed every 2 s and started again at once, with viewers at all of them."""
-    draw, answers, kills_, number = random.Random(23), Counter[str](), 0, 0
+    """Kills one of five routers every 2 s and restarts it at once, with viewers at all of them."""
+    rng, answers, kills_, number = random.Random(23), Counter[str](), 0, 0
     with tempfile.TemporaryDirectory() as name, start_rig(Path(name), True, titles=5000) as made:
         until_ms, next_ms = made.record.now() + seconds * 1000.0, made.record.now()
         while (now := made.record.now()) < until_ms:
             if now >= next_ms:
                 next_ms = now + 2000.0
-                victim = made[draw.randrange(5)]
+                victim = made[rng.randrange(5)]
                 if victim.running:
                     victim.kill()
                     victim.start()
                     kills_ += 1
-            there = [x for x in made.routers if x.running and "HLS" in x.ports]
-            one = draw.randrange(max(0, number - 30), number) if number and draw.random() < 0.5 else number
-            number = max(number, one + 1)
-            code, _ = fetch_manifest(made, draw.choice(there), one)
+            serving = [x for x in made.routers if x.running and "HLS" in x.ports]
+            play_number = (
+                rng.randrange(max(0, number - 30), number) if number and rng.random() < 0.5 else number
+            )
+            number = max(number, play_number + 1)
+            code, _ = fetch_manifest(made, rng.choice(serving), play_number)
             answers[str(code or "lost")] += 1
         for router in made.routers:
             router.wait_started()
@@ -426,7 +438,7 @@
 
 
 def final_state(made: Rig) -> dict[str, object]:
-    """Ten seconds after the last fault: what is left standing, and who has it."""
+    """Counts, ten seconds after the last fault, the sessions that are left and any inconsistency."""
     made.record.pause(10.0)
     return {
         "set up twice": sum(x > 1 for x in set_ups_by_title(made.record).values()),
@@ -439,38 +451,39 @@
 
 PARTS: dict[str, tuple[str, Any]] = {
     "kills": (
-        "A router of five with ten paid plays that stand is killed; the plays are fetched at others. "
-        "Off has a tenth of the kills.",
+        "A router of five with ten established paid plays is killed; the plays are fetched at others. "
+        "Without ownership there are a tenth of the kills.",
         kills,
     ),
-    "wait": ("Set-ups over RTSP one after the other at one router of five: what custody adds.", waits),
-    "setups": ("Set-ups in a closed loop of six lines at one router of five, repeatable ones.", setups),
-    "both": ("Two fetches of one paid play at two routers in the same moment.", both),
-    "flood": ("A router is killed every 2 s and started again, with viewers at all of them.", flood),
-    "records": ("The records alone, three routers in one process.", records),
+    "wait": ("Sequential set-ups over RTSP at one of five routers: the delay that ownership adds.", waits),
+    "setups": ("Repeatable set-ups in a closed loop of six connections at one of five routers.", setups),
+    "both": ("Two fetches of one paid play at two routers at the same time.", both),
+    "flood": ("A router is killed every 2 s and restarted, with viewers at all of them.", flood),
+    "records": ("The records by themselves, three routers in one process.", records),
     "soak": ("Random kills, pauses, cuts and losses of up to a fifth, with viewers all the time.", soak),
 }
 
 
 def main() -> None:
+    """Runs the parts that the command line names, and writes all tables."""
     path = RESULTS / "custody.json"
-    held: dict[str, Rows] = json.loads(path.read_text()) if path.exists() else {}
-    words = sys.argv[1:]
-    number = next((float(x) for x in words if x.replace(".", "").isdigit()), None)
-    for part in [x for x in words if x in PARTS] or list(PARTS):
+    results: dict[str, Rows] = json.loads(path.read_text()) if path.exists() else {}
+    arguments = sys.argv[1:]
+    number = next((float(x) for x in arguments if x.replace(".", "").isdigit()), None)
+    for part in [x for x in arguments if x in PARTS] or list(PARTS):
         call = PARTS[part][1]
         if part == "soak":
-            held[part] = call(number or 30.0)
+            results[part] = call(number or 30.0)
         elif part == "kills":
-            held[part] = call(int(number or 100))
+            results[part] = call(int(number or 100))
         else:
-            held[part] = call()
-        print(part, held[part], flush=True)
-        path.write_text(json.dumps(held, indent=1) + "\n")
+            results[part] = call()
+        print(part, results[part], flush=True)
+        path.write_text(json.dumps(results, indent=1) + "\n")
     write_results(
         "custody",
-        "Custody",
-        [(PARTS[x][0], held[x]) for x in PARTS if x in held],
+        "Ownership",
+        [(PARTS[x][0], results[x]) for x in PARTS if x in results],
         "python -m benchmarks.custody",
     )
 
