--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -142,7 +142,7 @@
         return read(kind, seed, nodes, report, done.stdout + done.stderr)
 
 
-def put_beside(site: Path, side: Path) -> None:
+def copy_side_files(site: Path, side: Path) -> None:
     """The names that the bench uses on the wire; git ignores them beside a site file of our own."""
     for name in SIDE_FILES:
         if not (site.parent / name).exists():
@@ -177,7 +177,7 @@
     told = docopt(USAGE)
     plays = [(kind, seed) for kind in told["--days"].split(",") for seed in numbers(told["--seeds"])]
     if told["--side"]:
-        put_beside(Path(told["SITE"]), Path(told["--side"]))
+        copy_side_files(Path(told["SITE"]), Path(told["--side"]))
     jobs = int(told["--jobs"] or max(1, (os.cpu_count() or 1) // CORES_PER_PLAY))
     logs = Path(told["--logs"]) if told["--logs"] else None
     if logs is not None:
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -17,17 +17,17 @@
 from pathlib import Path
 
 from benchmarks.members import OPTIMIZED, Rows
-from benchmarks.tables import keep
+from benchmarks.tables import write_results
 from cloverhinge.lab import viewers
 from cloverhinge.lab.media import Limited, MediaBox
 from cloverhinge.lab.rig import Rig, rig
 from cloverhinge.lab.viewers import SITE_KEY, until_rostered
 
-ROUTERS, BOXES, PLACES, LIFE_S, PACE_S = 5, 4, 60, 6.0, 19.0
+ROUTERS, SERVERS, PLACES, SESSION_S, ARRIVALS_PER_S = 5, 4, 60, 6.0, 19.0
 BEFORE_S, TITLES = 12.0, 200
 
 
-def tables(boxes: list[MediaBox], stores: bool) -> str:
+def site_tables(boxes: list[MediaBox], stores: bool) -> str:
     store = ["[store]", 'folder = "{folder}/store"'] if stores else []
     titles = (f"t{n} = {{ copies = 3, length_s = 20 }}" for n in range(TITLES))
     lines = [
@@ -51,7 +51,7 @@
     """Viewers in an open loop: each comes at its time to a router, and is counted in that second."""
 
     def __init__(self, made: Rig, seed: int) -> None:
-        self.made, self.random = made, random.Random(seed)
+        self.rig, self.random = made, random.Random(seed)
         self.answers: dict[int, Counter[int]] = {}
         self.begun, self.ended = time.monotonic(), threading.Event()
         self.pool = ThreadPoolExecutor(64)
@@ -65,15 +65,15 @@
     def _run(self) -> None:
         number, due = 0, 0.0
         while not self.ended.wait(max(0.0, due - self.now)):
-            number, due = number + 1, due + self.random.expovariate(PACE_S)
-            router, title = self.made[self.random.randrange(ROUTERS)], self.random.randrange(TITLES)
-            self.pool.submit(self._come, number, int(due), router.number, title)
+            number, due = number + 1, due + self.random.expovariate(ARRIVALS_PER_S)
+            router, title = self.rig[self.random.randrange(ROUTERS)], self.random.randrange(TITLES)
+            self.pool.submit(self._fetch, number, int(due), router.number, title)
 
-    def _come(self, number: int, second: int, at: int, title: int) -> None:
-        router = self.made[at]
+    def _fetch(self, number: int, second: int, at: int, title: int) -> None:
+        router = self.rig[at]
         status = 0
         if "HLS" in router.ports:
-            status, _ = viewers.get(self.made, router, f"/play/free/t{title}?play=view-{number:08d}", 4.0)
+            status, _ = viewers.get(self.rig, router, f"/play/free/t{title}?play=view-{number:08d}", 4.0)
         self.answers.setdefault(second, Counter())[status] += 1
 
     def stop(self) -> None:
@@ -82,13 +82,13 @@
         self.pool.shutdown()
 
 
-def play(stores: bool, after_s: float, seed: int = 1) -> Rows:
-    boxes: list[MediaBox] = [Limited(f"s-{n:08x}", n % 3, PLACES, LIFE_S) for n in range(BOXES)]
+def measure(stores: bool, after_s: float, seed: int = 1) -> Rows:
+    boxes: list[MediaBox] = [Limited(f"s-{n:08x}", n % 3, PLACES, SESSION_S) for n in range(SERVERS)]
     rows: Rows = []
     with (
         tempfile.TemporaryDirectory() as name,
         rig(
-            Path(name), ROUTERS, pumps=boxes, tables=tables(boxes, stores), program=OPTIMIZED, seed=seed
+            Path(name), ROUTERS, pumps=boxes, tables=site_tables(boxes, stores), program=OPTIMIZED, seed=seed
         ) as made,
     ):
         until_rostered(made)
@@ -128,13 +128,16 @@
 def main() -> None:
     after_s = float(sys.argv[1]) if len(sys.argv) > 1 else 25.0
     about = (
-        f"{ROUTERS} routers, {BOXES} boxes of {PLACES} places, sessions of {LIFE_S:.0f} s whose "
-        f"titles say 20 s, {PACE_S:.0f} viewers a second who come once."
+        f"{ROUTERS} routers, {SERVERS} boxes of {PLACES} places, sessions of {SESSION_S:.0f} s whose "
+        f"titles say 20 s, {ARRIVALS_PER_S:.0f} viewers a second who come once."
     )
-    keep(
+    write_results(
         "comeback",
         "Coming back: all routers killed and started at second 0",
-        [(f"{about} Stores {'on' if stores else 'off'}.", play(stores, after_s)) for stores in (False, True)],
+        [
+            (f"{about} Stores {'on' if stores else 'off'}.", measure(stores, after_s))
+            for stores in (False, True)
+        ],
         "python -m benchmarks.comeback",
     )
 
--- a/benchmarks/custody.py
+++ b/benchmarks/custody.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.members import OPTIMIZED, Rows, figures, share
-from benchmarks.tables import RESULTS, keep
+from benchmarks.members import OPTIMIZED, Rows, percentile, summary
+from benchmarks.tables import RESULTS, write_results
 from cloverhinge.lab import viewers
 from cloverhinge.lab.harness import Quick, answer
 from cloverhinge.lab.media import set_ups
@@ -34,41 +34,41 @@
 from cloverhinge.ownership.wire import Member
 
 PLAYS = 10  # at a router when it is killed
-SOON_S = 30.0
+TIMEOUT_S = 30.0
 
 
-def keeping(folder: Path, on: bool, titles: int = 2000) -> AbstractContextManager[Rig]:
+def start_rig(folder: Path, on: bool, titles: int = 2000) -> AbstractContextManager[Rig]:
     return viewers.keeping(folder, 5, titles, 600.0, on, program=OPTIMIZED)
 
 
-def until(made: Rig, what: str, holds: Callable[..., bool]) -> None:
-    made.poll(what, holds, SOON_S, 0.02)
+def wait_until(made: Rig, what: str, holds: Callable[..., bool]) -> None:
+    made.poll(what, holds, TIMEOUT_S, 0.02)
 
 
-def final(made: Rig, router: Router, number: int) -> int:
-    return viewers.final(made, router, number, seconds=SOON_S)[0]
+def final_status(made: Rig, router: Router, number: int) -> int:
+    return viewers.final(made, router, number, seconds=TIMEOUT_S)[0]
 
 
-def ended(made: Rig) -> None:
+def end_all_sessions(made: Rig) -> None:
     """The boxes end all, so that there is room for the next ones."""
     for box in made.boxes:
         for session in list(box.sessions):
             box.end(session)
-    until(made, "all ends are heard", lambda: sum(x.status()["standing"] for x in made.routers) == 0)
+    wait_until(made, "all ends are heard", lambda: sum(x.status()["standing"] for x in made.routers) == 0)
     for box in made.boxes:
         box.ended.clear()
 
 
-def killed(on: bool, kills: int) -> dict[str, object]:
+def measure_kills(on: bool, kills: int) -> dict[str, object]:
     """A router with ten paid plays that stand is killed; the same plays are fetched at others."""
     draw, number, owned, answers = random.Random(3), 0, [], Counter[int]()
-    with tempfile.TemporaryDirectory() as name, keeping(Path(name), on) as made:
+    with tempfile.TemporaryDirectory() as name, start_rig(Path(name), on) as made:
         for _ in range(kills):
             victim = made[draw.randrange(5)]
             plays = range(number, number + PLAYS)
             number += PLAYS
             for one in plays:
-                told = final(made, victim, one)
+                told = final_status(made, victim, one)
                 assert told == 200, (on, one, told, made.record.tail())
             others = [x for x in made.routers if x is not victim]
             before = sum(custody_of(x)["taken_over"] for x in others) if on else 0
@@ -76,7 +76,7 @@
             victim.kill()
             if on:
                 try:
-                    until(
+                    wait_until(
                         made,
                         "all are owned again",
                         lambda others=others, before=before: sum(custody_of(x)["taken_over"] for x in others)
@@ -90,13 +90,13 @@
                     raise AssertionError(f"{known}\n{[custody_of(x) for x in others]}\n{error}") from None
                 owned.append(made.record.now() - at)
             for one in plays:
-                answers[final(made, draw.choice(others), one)] += 1
+                answers[final_status(made, draw.choice(others), one)] += 1
             victim.start()
             victim.until_started()
             made.until_agreed(seconds=30.0)
             if on:
                 until_rostered(made)
-            ended(made)
+            end_all_sessions(made)
         counts = set_ups(made.record)
         twice = sum(x > 1 for x in counts.values())
         released = sum(1 for _ in made.record.of("released"))
@@ -109,15 +109,15 @@
         "set up twice": twice,
         "ended at the boxes": released,
     }
-    times = figures(owned) if owned else {"p50 ms": "", "p99 ms": "", "most ms": ""}
+    times = summary(owned) if owned else {"p50 ms": "", "p99 ms": "", "most ms": ""}
     return row | {f"owned again, {k}": v for k, v in times.items() if k != "n"}
 
 
 def kills(count: int = 100) -> Rows:
-    return [killed(False, max(5, count // 10)), killed(True, count)]
+    return [measure_kills(False, max(5, count // 10)), measure_kills(True, count)]
 
 
-def paced(made: Rig, router: Router, kind: str, first: int, count: int) -> list[float]:
+def sequential_set_ups(made: Rig, router: Router, kind: str, first: int, count: int) -> list[float]:
     """Set-ups over RTSP one after the other on one connection; ms until each answer."""
     took = []
     wire, _ = set_up(made, router, f"{first:016x}", "t0", kind)
@@ -137,7 +137,7 @@
     return took
 
 
-def quick(folder: Path, on: bool) -> Any:
+def rig_with_fast_servers(folder: Path, on: bool) -> Any:
     boxes = [Quick(f"s-{n:08x}", n) for n in range(2)]
     return rig(
         folder,
@@ -156,14 +156,17 @@
     with tempfile.TemporaryDirectory() as name:
         (Path(name) / "on").mkdir()
         (Path(name) / "off").mkdir()
-        with quick(Path(name) / "on", True) as on, quick(Path(name) / "off", False) as off:
+        with (
+            rig_with_fast_servers(Path(name) / "on", True) as on,
+            rig_with_fast_servers(Path(name) / "off", False) as off,
+        ):
             until_rostered(on)
             for turn in range(10):
                 for kind in ("paid", "free"):
                     for word, made in (("off", off), ("on", on)):
                         first = turn * 10_000 + 1 + (5000 if kind == "paid" else 0)
                         took.setdefault((kind, word), []).extend(
-                            paced(made, made[0], kind, first, count // 10)
+                            sequential_set_ups(made, made[0], kind, first, count // 10)
                         )
     rows: Rows = []
     for kind in ("paid", "free"):
@@ -174,8 +177,8 @@
                     "class": kind,
                     "custody": word,
                     "n": len(values),
-                    "p50 ms": share(values, 0.5),
-                    "p99 ms": share(values, 0.99),
+                    "p50 ms": percentile(values, 0.5),
+                    "p99 ms": percentile(values, 0.99),
                     "most ms": max(values),
                 }
             )
@@ -187,7 +190,7 @@
     from concurrent.futures import ProcessPoolExecutor
     from multiprocessing import get_context
 
-    from benchmarks.members import load
+    from benchmarks.members import run_closed_loop
 
     seen: dict[str, list[tuple[int, float, list[float]]]] = {"off": [], "on": []}
     viewers = ProcessPoolExecutor(1, mp_context=get_context("spawn"))
@@ -196,14 +199,19 @@
             folder = Path(name) / str(turn)
             for word in ("on", "off"):
                 (folder / word).mkdir(parents=True)
-            with quick(folder / "on", True) as on, quick(folder / "off", False) as off:
+            with (
+                rig_with_fast_servers(folder / "on", True) as on,
+                rig_with_fast_servers(folder / "off", False) as off,
+            ):
                 until_rostered(on)
                 for part in range(4):
                     for word, made in (("off", off), ("on", on))[:: 1 if part % 2 else -1]:
                         process = made[0].process
                         assert process is not None
                         seen[word].append(
-                            pool.submit(load, made[0].ports["listening"], process.pid, seconds).result()
+                            pool.submit(
+                                run_closed_loop, made[0].ports["listening"], process.pid, seconds
+                            ).result()
                         )
     rows: Rows = []
     for word, all_ in seen.items():
@@ -213,7 +221,7 @@
                 "custody": word,
                 "set-ups a second": count / len(all_) / seconds,
                 "a second of its processor": count / sum(x[1] for x in all_),
-                "p99 ms": share([y for x in all_ for y in x[2]], 0.99),
+                "p99 ms": percentile([y for x in all_ for y in x[2]], 0.99),
             }
         )
     off_, on_ = rows
@@ -226,45 +234,47 @@
     return rows
 
 
-class Machines:
+class CoresInProcess:
     """Three routers' machines in one process, messages carried by hand."""
 
     def __init__(self) -> None:
         members = [Member(f"r{n}", n + 1, "main") for n in range(3)]
-        self.machines = {x.member_id: core.OwnershipCore(x, model.Rules(routers=3), x.run) for x in members}
+        self.cores = {x.member_id: core.OwnershipCore(x, model.Rules(routers=3), x.run) for x in members}
         self.now, self.bytes = 1000.0, 0
-        for machine in self.machines.values():
+        for machine in self.cores.values():
             machine.update_members({x: 1 for x in members}, False, {})
         self.tick(100)
-        self.owner = self.machines[members[0].member_id]
+        self.owner = self.cores[members[0].member_id]
 
-    def act(self, own: str, actions: list[model.Action]) -> None:
+    def carry_out(self, own: str, actions: list[model.Action]) -> None:
         for action in actions:
             if isinstance(action, model.Send):
                 self.bytes += len(action.body)
-                other = self.machines[action.to.member_id]
-                self.act(action.to.member_id, other.receive(self.now, self.machines[own].own, action.body))
+                other = self.cores[action.to.member_id]
+                self.carry_out(action.to.member_id, other.receive(self.now, self.cores[own].own, action.body))
 
     def tick(self, times: int = 1) -> None:
         for _ in range(times):
             self.now += core.TICK_MS
-            for who, machine in self.machines.items():
-                self.act(who, machine.tick(self.now))
+            for who, machine in self.cores.items():
+                self.carry_out(who, machine.tick(self.now))
 
-    def take(self, number: int, body: bytes) -> None:
+    def add_record(self, number: int, body: bytes) -> None:
         id, owner = f"h/{number:032x}", self.owner
-        self.act(owner.own_id, owner.claim(self.now, number, id, True, body, self.now + 500, self.now + 500))
-        self.act(owner.own_id, owner.update(self.now, id, Phase.STANDS, body))
+        self.carry_out(
+            owner.own_id, owner.claim(self.now, number, id, True, body, self.now + 500, self.now + 500)
+        )
+        self.carry_out(owner.own_id, owner.update(self.now, id, Phase.STANDS, body))
 
 
 def records() -> Rows:
     """Bytes and time a session."""
     rows: Rows = []
     for count in (1000, 10_000, 50_000):
-        made, body = Machines(), b"x" * 120  # what a front keeps of a session, about
+        made, body = CoresInProcess(), b"x" * 120  # what a front keeps of a session, about
         begun, before = time.process_time(), made.bytes
         for number in range(count):
-            made.take(number, body)
+            made.add_record(number, body)
             if number % 100 == 0:
                 made.tick()
         took, size = time.process_time() - begun, made.bytes - before
@@ -274,9 +284,9 @@
         idle = (time.process_time() - begun) / 2.0 / 3.0
         del made
         tracemalloc.start()
-        made = Machines()
+        made = CoresInProcess()
         for number in range(min(count, 10_000)):
-            made.take(number, body)
+            made.add_record(number, body)
         held = tracemalloc.get_traced_memory()[0] / min(count, 10_000)
         tracemalloc.stop()
         rows.append(
@@ -294,7 +304,7 @@
 def soak(minutes: float) -> Rows:
     """Random kills, pauses, cuts and losses; viewers come at any router and come again elsewhere."""
     draw, answers, faults = random.Random(17), Counter[str](), Counter[str]()
-    with tempfile.TemporaryDirectory() as name, keeping(Path(name), True, titles=20_000) as made:
+    with tempfile.TemporaryDirectory() as name, start_rig(Path(name), True, titles=20_000) as made:
         until_ms, number = made.record.now() + minutes * 60_000.0, 0
         paused: dict[int, float] = {}
         dead: dict[int, float] = {}
@@ -348,7 +358,7 @@
                 "paid plays": number,
                 **faults,
                 **{f"answers {k}": v for k, v in sorted(answers.items())},
-                **whole(made),
+                **final_state(made),
             }
         ]
 
@@ -358,15 +368,15 @@
     answers: Counter[int] = Counter()
     with (
         tempfile.TemporaryDirectory() as name,
-        keeping(Path(name), True) as made,
+        start_rig(Path(name), True) as made,
         ThreadPoolExecutor(2) as pool,
     ):
         begun = made.record.now()
         for number in range(count):
             at = made[number % 5], made[(number + 1 + number // 5 % 4) % 5]
-            answers.update(pool.map(lambda router, number=number: final(made, router, number), at))
+            answers.update(pool.map(lambda router, number=number: final_status(made, router, number), at))
             if number % 100 == 99:
-                ended(made)
+                end_all_sessions(made)
         counts = set_ups(made.record)
         return [
             {
@@ -382,7 +392,7 @@
 def flood(seconds: float = 60.0) -> Rows:
     """One of five is killed every 2 s and started again at once, with viewers at all of them."""
     draw, answers, kills_, number = random.Random(23), Counter[str](), 0, 0
-    with tempfile.TemporaryDirectory() as name, keeping(Path(name), True, titles=5000) as made:
+    with tempfile.TemporaryDirectory() as name, start_rig(Path(name), True, titles=5000) as made:
         until_ms, next_ms = made.record.now() + seconds * 1000.0, made.record.now()
         while (now := made.record.now()) < until_ms:
             if now >= next_ms:
@@ -406,12 +416,12 @@
                 "kills": kills_,
                 "paid plays": number,
                 **{f"answers {k}": v for k, v in sorted(answers.items())},
-                **whole(made),
+                **final_state(made),
             }
         ]
 
 
-def whole(made: Rig) -> dict[str, object]:
+def final_state(made: Rig) -> dict[str, object]:
     """Ten seconds after the last fault: what is left standing, and who has it."""
     made.record.pause(10.0)
     return {
@@ -453,7 +463,7 @@
             held[part] = call()
         print(part, held[part], flush=True)
         path.write_text(json.dumps(held, indent=1) + "\n")
-    keep(
+    write_results(
         "custody",
         "Custody",
         [(PARTS[x][0], held[x]) for x in PARTS if x in held],
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -24,14 +24,14 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.tables import keep
+from benchmarks.tables import write_results
 from benchmarks.world import Crowd, World, settings
 from cloverhinge.admission.gateway import AdmissionGateway
 from cloverhinge.core.model import SetUpRequest
 from cloverhinge.site import ClientSite, DoorSite
 
 MAPLE, BIRCH = ip_network("10.1.0.0/16"), ip_network("10.2.0.0/16")
-DOOR = DoorSite(
+ADMISSION = DoorSite(
     b"k" * 32,
     512,
     2048,
@@ -40,15 +40,15 @@
 )
 
 
-def share(values: list[float], part: float) -> float:
+def percentile(values: list[float], part: float) -> float:
     return sorted(values)[min(int(len(values) * part), len(values) - 1)] if values else math.nan
 
 
-class Timed:
+class TimedAdmission:
     """The time spent in the door, room checks included, and in all of the core."""
 
     def __init__(self, gate: AdmissionGateway | None, world: World) -> None:
-        self.door_s, self.calls, self.depth = 0.0, 0, 0
+        self.admission_s, self.calls, self.depth = 0.0, 0, 0
         for name in ("arrive", "serve", "changed", "poll") if gate is not None else ():
             assert gate is not None
             setattr(gate.queue, name, self._wrap(getattr(gate.queue, name)))
@@ -62,7 +62,7 @@
             finally:
                 self.depth -= 1
                 if not self.depth:
-                    self.door_s += time.perf_counter() - since
+                    self.admission_s += time.perf_counter() - since
 
         return timed
 
@@ -70,18 +70,18 @@
 def shares() -> list[dict[str, object]]:
     rows: list[dict[str, object]] = []
     wires: tuple[tuple[str, dict[str, Any]], ...] = (
-        ("HLS, whole seconds", {"grain_ms": 1000.0}),
-        ("RTSP, cut at 1 s", {"cut_ms": 1000.0}),
+        ("HLS, whole seconds", {"retry_after_step_ms": 1000.0}),
+        ("RTSP, cut at 1 s", {"max_retry_after_ms": 1000.0}),
     )
     for wire, more in wires:
         for on in (False, True):
             crowds = [
-                Crowd("maple", "10.1.0.1", 5, checks=0.2, patience_ms=90_000.0, **more),
-                Crowd("birch", "10.2.0.1", 50, checks=0.2, patience_ms=90_000.0, **more),
+                Crowd("maple", "10.1.0.1", 5, check_share=0.2, patience_ms=90_000.0, **more),
+                Crowd("birch", "10.2.0.1", 50, check_share=0.2, patience_ms=90_000.0, **more),
             ]
             world = World(settings(4, 50), crowds)
-            gate = AdmissionGateway(DOOR, world.router, world.deadlines, 1) if on else None
-            timed, since = Timed(gate, world), time.process_time()
+            gate = AdmissionGateway(ADMISSION, world.router, world.deadlines, 1) if on else None
+            timed, since = TimedAdmission(gate, world), time.process_time()
             world.run(60_000.0)
             took = time.process_time() - since
             asked, back = (sum(getattr(x.tally, name) for x in crowds) for name in ("asked", "back"))
@@ -92,16 +92,16 @@
                 {
                     "wire": wire,
                     "door": "on" if on else "off",
-                    "small served (ideal 1)": crowds[0].tally.served / crowds[0].tally.came,
-                    "large served (ideal 0.30)": crowds[1].tally.served / crowds[1].tally.came,
+                    "small served (ideal 1)": crowds[0].tally.served / crowds[0].tally.arrived,
+                    "large served (ideal 0.30)": crowds[1].tally.served / crowds[1].tally.arrived,
                     "came back": back,
-                    "of them in": sum(x.tally.back_in for x in crowds) / max(1, back),
+                    "of them in": sum(x.tally.served_after_return for x in crowds) / max(1, back),
                     "promises kept": kept,
                     "broken": broken,
                     "within 20%": near / kept if kept else math.nan,
-                    "wait p50 ms": share(waits, 0.5),
-                    "wait p99 ms": share(waits, 0.99),
-                    "door us a request": timed.door_s * 1e6 / asked if on else 0.0,
+                    "wait p50 ms": percentile(waits, 0.5),
+                    "wait p99 ms": percentile(waits, 0.99),
+                    "door us a request": timed.admission_s * 1e6 / asked if on else 0.0,
                     "all us a request": took * 1e6 / asked,
                 }
             )
@@ -116,16 +116,16 @@
                 f"{name}-{kind}",
                 f"10.{at}.0.1",
                 10,
-                checks=kind == "check",
+                check_share=kind == "check",
                 patience_ms=30_000.0,
-                grain_ms=1000.0,
+                retry_after_step_ms=1000.0,
             )
             for at, name in ((1, "maple"), (2, "birch"))
             for kind in ("check", "coaching")
         ]
         world = World(settings(4, 50), crowds)
         if on:
-            AdmissionGateway(DOOR, world.router, world.deadlines, 1)
+            AdmissionGateway(ADMISSION, world.router, world.deadlines, 1)
         world.run(60_000.0)
         for kind in ("check", "coaching"):
             tallies = [x.tally for x in crowds if x.name.endswith(kind)]
@@ -135,11 +135,11 @@
                 {
                     "door": "on" if on else "off",
                     "class": kind,
-                    "served": sum(x.served for x in tallies) / sum(x.came for x in tallies),
-                    "wait p50 ms": share(waits, 0.5),
-                    "wait p99 ms": share(waits, 0.99),
-                    "first ask to served p50 ms": share(whole, 0.5),
-                    "p99 ms": share(whole, 0.99),
+                    "served": sum(x.served for x in tallies) / sum(x.arrived for x in tallies),
+                    "wait p50 ms": percentile(waits, 0.5),
+                    "wait p99 ms": percentile(waits, 0.99),
+                    "first ask to served p50 ms": percentile(whole, 0.5),
+                    "p99 ms": percentile(whole, 0.99),
                 }
             )
     return rows
@@ -152,7 +152,7 @@
 def flood(thousands: int) -> float:
     """Resident MB after so many thousand fake clients, each of its own address, id and title."""
     world = World(settings(4, 50), [])
-    AdmissionGateway(DOOR, world.router, world.deadlines, 1)
+    AdmissionGateway(ADMISSION, world.router, world.deadlines, 1)
     world.run(10.0)
     viewer: Any = Crowd("fake", "", 0)
     viewer.served = viewer.refused = viewer.failed = viewer.released = lambda *_: None
@@ -185,13 +185,15 @@
     return rows
 
 
-def used_s(process: int) -> float:
+def cpu_time_s(process: int) -> float:
     """Processor time of a process, in seconds."""
     words = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
     return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def paces(folder: Path, door: bool, seconds: float = 4.0, lines: int = 8) -> tuple[float, float]:
+def measure_set_up_rate(
+    folder: Path, door: bool, seconds: float = 4.0, lines: int = 8
+) -> tuple[float, float]:
     """Set-ups a second, and a second of the router's processor time; viewers ask, hear, end and ask again."""
     from cloverhinge.lab.harness import SETTINGS, ChangeLog, Quick, Wire, answer
 
@@ -241,12 +243,12 @@
             wire.close()
 
         threads = [threading.Thread(target=viewer, args=(at,)) for at in range(lines)]
-        before = used_s(process.pid)
+        before = cpu_time_s(process.pid)
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        used = used_s(process.pid) - before
+        used = cpu_time_s(process.pid) - before
         process.terminate()
         process.wait(10.0)
         for stand in (*pumps, log):
@@ -262,7 +264,7 @@
     seen: dict[str, list[tuple[float, float]]] = {}
     for _ in range(3):  # in turns, so that a busy machine is busy for all
         for kind, folder, door in kinds:
-            seen.setdefault(kind, []).append(paces(folder, door))
+            seen.setdefault(kind, []).append(measure_set_up_rate(folder, door))
     return [
         {
             "version": kind,
@@ -275,7 +277,7 @@
 
 def main() -> None:
     before = Path(sys.argv[sys.argv.index("--before") + 1]) if "--before" in sys.argv else None
-    keep(
+    write_results(
         "door",
         "The door, off and on",
         [
--- a/benchmarks/door_orders.py
+++ b/benchmarks/door_orders.py
@@ -14,7 +14,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from benchmarks.tables import keep
+from benchmarks.tables import write_results
 from cloverhinge.admission.fair_queue import max_min
 
 PLACES, SPAN_S, WAIT_S = 100, 600.0, 4.0
@@ -26,20 +26,20 @@
     weight: float
     per_s: float
     mean_s: float
-    on_s: float = SPAN_S  # it asks for so long, then is idle for as long
+    active_s: float = SPAN_S  # it asks for so long, then is idle for as long
     waiting: deque[tuple[float, float]] = field(default_factory=deque)  # (moment, length)
-    holding: int = 0
+    active: int = 0
     deficit: float = 0.0
     tag: float = 0.0
     used: float = 0.0
-    lost: int = 0
+    gave_up: int = 0
 
 
-def pick(order: str, queues: list[Queue], turn: list[int], virtual: float) -> Queue:
+def choose_queue(order: str, queues: list[Queue], turn: list[int], virtual: float) -> Queue:
     able = [x for x in queues if x.waiting]
     match order:
         case "least holding":
-            return min(able, key=lambda x: (x.holding / x.weight, x.waiting[0][0]))
+            return min(able, key=lambda x: (x.active / x.weight, x.waiting[0][0]))
         case "virtual time":  # start-time fair queueing, charged by the length held
             return min(able, key=lambda x: (max(x.tag, virtual), x.waiting[0][0]))
         case "stride":  # a pass for each let in, strides by weight, lengths unknown
@@ -55,14 +55,14 @@
                 queues[turn[0] % len(queues)].deficit += queues[turn[0] % len(queues)].weight
 
 
-def play(order: str, queues: list[Queue], seed: int) -> int:
+def simulate(order: str, queues: list[Queue], seed: int) -> int:
     events: list[tuple[float, int, int, float]] = []
     rng, turn, virtual, free, passed = random.Random(seed), [0], 0.0, PLACES, 0
     for at, queue in enumerate(queues):
         now = 0.0
         while now < SPAN_S:
             now += rng.expovariate(queue.per_s)
-            if now % (2 * queue.on_s) < queue.on_s:
+            if now % (2 * queue.active_s) < queue.active_s:
                 length = rng.lognormvariate(0, 0.5) * queue.mean_s / 1.133
                 heapq.heappush(events, (now, 0, at, length))
     while events:
@@ -74,23 +74,23 @@
                 queues[at].tag = max([queues[at].tag, *(x.tag for x in queues if x.waiting)][:2])
             queues[at].waiting.append((now, length))
         else:
-            queues[at].holding -= 1
+            queues[at].active -= 1
             free += 1
-        level = sum(x.weight for x in queues if x.waiting or x.holding)
+        level = sum(x.weight for x in queues if x.waiting or x.active)
         for queue in queues:
             while queue.waiting and now - queue.waiting[0][0] > WAIT_S:
                 queue.waiting.popleft()
-                queue.lost += 1
+                queue.gave_up += 1
                 due = PLACES * queue.weight / level
-                over = any(x.holding > PLACES * x.weight / level + 1 for x in queues if x is not queue)
-                passed += queue.holding < due - 1 and over
+                over = any(x.active > PLACES * x.weight / level + 1 for x in queues if x is not queue)
+                passed += queue.active < due - 1 and over
         while free and any(x.waiting for x in queues):
-            queue = pick(order, queues, turn, virtual)
+            queue = choose_queue(order, queues, turn, virtual)
             _, length = queue.waiting.popleft()
             queue.deficit -= 1
             virtual = max(virtual, queue.tag) if order == "virtual time" else virtual
             queue.tag = max(queue.tag, virtual) + (length if order == "virtual time" else 1.0) / queue.weight
-            queue.holding += 1
+            queue.active += 1
             queue.used += min(length, SPAN_S - now)
             free -= 1
             heapq.heappush(events, (now + length, 1, queues.index(queue), 0.0))
@@ -112,9 +112,9 @@
             queues = [
                 Queue(name, float(w), float(rate), float(mean), float(on)) for name, w, rate, mean, on in told
             ]
-            passed = play(order, queues, 1)
+            passed = simulate(order, queues, 1)
             due = max_min(PLACES, [x.per_s * x.mean_s for x in queues], [x.weight for x in queues])
-            used = [x.used / SPAN_S / (0.5 if x.on_s < SPAN_S else 1) for x in queues]
+            used = [x.used / SPAN_S / (0.5 if x.active_s < SPAN_S else 1) for x in queues]
             rows.append(
                 {
                     "trace": trace,
@@ -122,11 +122,11 @@
                     "got": ", ".join(
                         f"{x.name} {u / d:.2f}" for x, u, d in zip(queues, used, due, strict=True)
                     ),
-                    "gave up": sum(x.lost for x in queues),
+                    "gave up": sum(x.gave_up for x in queues),
                     "passed over": passed,
                 }
             )
-    keep(
+    write_results(
         "door_orders",
         "Four orders on the same traces",
         [("100 places, 600 s, requests that wait up to 4 s.", rows)],
--- a/benchmarks/fleet_days.py
+++ b/benchmarks/fleet_days.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.tables import keep
+from benchmarks.tables import write_results
 
 JOURNAL = Path(__file__).parent.parent / "journal"
 
@@ -25,14 +25,14 @@
     return {day["name"]: day for day in json.loads(found[0].read_text())["days"]}
 
 
-def pair(before: Any, after: Any, digits: int = 3) -> str:
+def change(before: Any, after: Any, digits: int = 3) -> str:
     return f"{before:.{digits}f} -> {after:.{digits}f}"
 
 
-def both(was: dict[str, Any], now: dict[str, Any], name: str, digits: int = 3) -> str:
+def signature_change(was: dict[str, Any], now: dict[str, Any], name: str, digits: int = 3) -> str:
     """A figure of what the bench sees from outside, which tells some on some days only."""
     one, two = was["signature"].get(name), now["signature"].get(name)
-    return pair(one, two, digits) if one is not None and two is not None else "-"
+    return change(one, two, digits) if one is not None and two is not None else "-"
 
 
 def main(before: str, after: str) -> None:
@@ -48,13 +48,13 @@
                 "day": name,
                 "routers": now["nodes"],
                 "boxes": now["servers"],
-                "G": pair(was["G"], now["G"]),
+                "G": change(was["G"], now["G"]),
                 "floor": f"{now['G_floor']:.3f}",
                 "top": f"{now['G_top']:.3f}",
-                "served": pair(was["served"], now["served"]),
+                "served": change(was["served"], now["served"]),
                 "gate": f"{now['served_least']:.3f}",
                 "seen late": f"{now['served_late']:.3f}",
-                "score": pair(was["score"], now["score"], 2),
+                "score": change(was["score"], now["score"], 2),
                 "MB": now["memory_mb"],
                 "troubles": ", ".join(now["troubles"]),
             }
@@ -62,21 +62,21 @@
         causes.append(
             {
                 "day": name,
-                "refused": both(was, now, "refused_share"),
-                "of them at once": both(was, now, "refused_early_share"),
-                "attempts a try": both(was, now, "attempts_per_try"),
-                "questions a try": both(was, now, "probes_per_try"),
-                "boxes connected to": both(was, now, "connections_per_instance", 1),
-                "boxes short": both(was, now, "servers_short"),
-                "raises a minute": both(was, now, "steps_up_a_minute"),
-                "steps down a minute": both(was, now, "steps_down_a_minute"),
+                "refused": signature_change(was, now, "refused_share"),
+                "of them at once": signature_change(was, now, "refused_early_share"),
+                "attempts a try": signature_change(was, now, "attempts_per_try"),
+                "questions a try": signature_change(was, now, "probes_per_try"),
+                "boxes connected to": signature_change(was, now, "connections_per_instance", 1),
+                "boxes short": signature_change(was, now, "servers_short"),
+                "raises a minute": signature_change(was, now, "steps_up_a_minute"),
+                "steps down a minute": signature_change(was, now, "steps_down_a_minute"),
                 "served by class": "; ".join(
                     f"{a[0]} {a[1]:.2f} -> {b[1]:.2f}"
                     for a, b in zip(was["by_class"], now["by_class"], strict=True)
                 ),
             }
         )
-    keep(
+    write_results(
         "fleet-days",
         "The whole fleet's days",
         [
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -23,8 +23,8 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.door import used_s
-from benchmarks.tables import RESULTS, keep
+from benchmarks.door import cpu_time_s
+from benchmarks.tables import RESULTS, write_results
 from cloverhinge.emulator.routers import World
 from cloverhinge.lab import checks, schedule
 from cloverhinge.lab.harness import ChangeLog, Program, Quick, Wire, answer, ask
@@ -33,19 +33,19 @@
 Rows = list[dict[str, object]]
 OPTIMIZED = ("-O", "-m", "cloverhinge")
 KILLS, MEMBERS, HEALS = 100, 16, 5
-BOUND_MS = 3500.0
+DETECTION_LIMIT_MS = 3500.0
 
 
-def share(values: list[float], part: float) -> float:
+def percentile(values: list[float], part: float) -> float:
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
 
-def figures(values: list[float]) -> dict[str, object]:
+def summary(values: list[float]) -> dict[str, object]:
     return {
         "n": len(values),
-        "p50 ms": round(share(values, 0.5)),
-        "p99 ms": round(share(values, 0.99)),
+        "p50 ms": round(percentile(values, 0.5)),
+        "p99 ms": round(percentile(values, 0.99)),
         "most ms": round(max(values)),
     }
 
@@ -73,10 +73,10 @@
             victim.until_started()
             made.until_agreed(seconds=30.0)
             back.append(made.record.now() - at)
-        seen = len(checks.all_of(made.record, BOUND_MS))
+        seen = len(checks.all_of(made.record, DETECTION_LIMIT_MS))
     return [
-        {"what": f"killed, one of {MEMBERS}: until all others know", **figures(known)},
-        {"what": "started again: until all hold one view (with the program's start)", **figures(back)},
+        {"what": f"killed, one of {MEMBERS}: until all others know", **summary(known)},
+        {"what": "started again: until all hold one view (with the program's start)", **summary(back)},
         {"what": "broken promises in the record", "n": seen, "p50 ms": "", "p99 ms": "", "most ms": ""},
     ]
 
@@ -104,7 +104,7 @@
                 made.record.pause(2.0)
                 assert made.agreed(made.routers)
                 took.append(max((x.ms for x in made.record.of("changed", since_ms=at)), default=at) - at)
-            rows.append({"cut": what, **figures(took)})
+            rows.append({"cut": what, **summary(took)})
     return rows
 
 
@@ -115,7 +115,7 @@
     raise ValueError("the process has no resident memory")
 
 
-def alone_mb(folder: Path) -> float:
+def memory_without_members_mb(folder: Path) -> float:
     """A router without members, settled."""
     log = ChangeLog()
     program = Program(folder, [], log)
@@ -127,15 +127,15 @@
         log.stop()
 
 
-def idle(seconds: float = 20.0) -> Rows:
+def cost_without_members(seconds: float = 20.0) -> Rows:
     """The processor that a router takes without members, to be taken off the others' figures."""
     with tempfile.TemporaryDirectory() as name:
         log = ChangeLog()
         program = Program(Path(name), [], log)
         log.followers.get(timeout=10.0)
-        before = used_s(program.process.pid)
+        before = cpu_time_s(program.process.pid)
         threading.Event().wait(seconds)
-        used = (used_s(program.process.pid) - before) / seconds
+        used = (cpu_time_s(program.process.pid) - before) / seconds
         program.end()
         log.stop()
     return [
@@ -150,16 +150,16 @@
 
 
 def cost(seconds: float = 20.0) -> Rows:
-    rows = idle(seconds)
+    rows = cost_without_members(seconds)
     for count in (3, 16):
         with tempfile.TemporaryDirectory() as name:
-            without = alone_mb(Path(name))
+            without = memory_without_members_mb(Path(name))
         with tempfile.TemporaryDirectory() as name, rig(Path(name), count) as made:
             made.record.pause(10.0)
             processes = [x.process.pid for x in made.routers if x.process is not None]
-            before = sum(map(used_s, processes)), made.hub.counts["passed"], made.hub.counts["bytes"]
+            before = sum(map(cpu_time_s, processes)), made.hub.counts["passed"], made.hub.counts["bytes"]
             made.record.pause(seconds)
-            after = sum(map(used_s, processes)), made.hub.counts["passed"], made.hub.counts["bytes"]
+            after = sum(map(cpu_time_s, processes)), made.hub.counts["passed"], made.hub.counts["bytes"]
             used, passed, size = ((y - x) / seconds / count for x, y in zip(before, after, strict=True))
             mb = sum(map(resident_mb, processes)) / count - without
         rows.append(
@@ -190,12 +190,12 @@
     return rows
 
 
-def load(
+def run_closed_loop(
     where: tuple[str, int], process: int, seconds: float, lines: int = 6
 ) -> tuple[int, float, list[float]]:
     """Viewers in a closed loop: set-ups, the processor's time that the router took for them, ms of each."""
     took: list[float] = []
-    until, before = time.monotonic() + seconds, used_s(process)
+    until, before = time.monotonic() + seconds, cpu_time_s(process)
 
     def viewer(at: int) -> None:
         wire, count = Wire(socket.create_connection(where, 10.0)), 0
@@ -215,13 +215,13 @@
         thread.start()
     for thread in threads:
         thread.join()
-    return len(took), used_s(process) - before, took
+    return len(took), cpu_time_s(process) - before, took
 
 
-PAIRS, TURNS, TURN_S, LANES = 12, 4, 1.0, 2
+PAIRS, TURNS, TURN_S, MAX_PARALLEL_PAIRS = 12, 4, 1.0, 2
 
 
-def pair(kind: str, at: int) -> list[tuple[float, float, float]]:
+def measure_pair(kind: str, at: int) -> list[tuple[float, float, float]]:
     """Set-ups a second, a second of the processor, and p99, of one router without members and of its rival.
 
     The two take turns, ABBA, so that what the machine does meanwhile meets both.  The rival is one of five
@@ -250,10 +250,10 @@
             routers.append((("127.0.0.1", program.port), program.process.pid))
         seen: list[list[tuple[int, float, list[float]]]] = [[], []]
         for which in (0, 1):
-            viewers.submit(load, *routers[which], 0.5).result()  # until both are warm
+            viewers.submit(run_closed_loop, *routers[which], 0.5).result()  # until both are warm
         for turn in range(TURNS):
             for which in ((0, 1), (1, 0))[turn % 2]:
-                seen[which].append(viewers.submit(load, *routers[which], TURN_S).result())
+                seen[which].append(viewers.submit(run_closed_loop, *routers[which], TURN_S).result())
         for stands in pumps:
             for stand in stands:
                 stand.stop()
@@ -261,7 +261,7 @@
         (
             sum(x[0] for x in all_) / TURNS / TURN_S,
             sum(x[0] for x in all_) / sum(x[1] for x in all_),
-            share([y for x in all_ for y in x[2]], 0.99),
+            percentile([y for x in all_ for y in x[2]], 0.99),
         )
         for all_ in seen
     ]
@@ -270,8 +270,8 @@
 def setups(pairs: int = PAIRS) -> Rows:
     """Pairs of fresh processes, as two like ones differ by what the memory's layout gives each."""
     tasks = [(kind, at) for at in range(pairs) for kind in ("with members", "without")]
-    with ProcessPoolExecutor(LANES, mp_context=get_context("spawn")) as lanes:
-        told = list(lanes.map(pair, *zip(*tasks, strict=True)))
+    with ProcessPoolExecutor(MAX_PARALLEL_PAIRS, mp_context=get_context("spawn")) as lanes:
+        told = list(lanes.map(measure_pair, *zip(*tasks, strict=True)))
     rows: Rows = []
     draw = random.Random(5)
     for kind in ("without", "with members"):
@@ -347,7 +347,7 @@
         held[part] = call(minutes) if part == "soak" else call()
         print(part, held[part], flush=True)
         path.write_text(json.dumps(held, indent=1) + "\n")
-    keep(
+    write_results(
         "members",
         "Membership",
         [(PARTS[x][0], held[x]) for x in PARTS if x in held],
--- a/benchmarks/members_ways.py
+++ b/benchmarks/members_ways.py
@@ -16,7 +16,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from benchmarks.tables import keep
+from benchmarks.tables import write_results
 from cloverhinge.emulator.network import Network, Process, Way
 from cloverhinge.emulator.routers import World
 from cloverhinge.members.watch import watch_relations
@@ -35,8 +35,8 @@
         self.process = model.net.processes[self.address] = Process(self.address)
         self.random = random.Random(model.seed * 1000 + number)
         self.incarnation = 0
-        self.gone: set[int] = set()  # those that it holds for dead
-        self.told: dict[tuple[str, int, int], int] = {}  # news, and how often they were passed on
+        self.removed: set[int] = set()  # those that it holds for dead
+        self.send_counts: dict[tuple[str, int, int], int] = {}  # news, and how often they were passed on
         self.seen: set[tuple[str, int, int]] = set()
         model.net.timer(self.process, self.random.random() * PERIOD_MS, self.tick)
 
@@ -45,35 +45,35 @@
         return self.model.net.now
 
     def others(self) -> list[int]:
-        return [x for x in self.model.numbers if x != self.number and x not in self.gone]
+        return [x for x in self.model.numbers if x != self.number and x not in self.removed]
 
     def send(self, to: int, call: Callable[..., None], *told: Any) -> None:
         """`call` is a method of the class; news ride along."""
-        other, news = self.model.nodes[to], self.take()
+        other, news = self.model.nodes[to], self.next_updates()
 
         def arrive() -> None:
             for one in news:
-                other.hear(one)
+                other.receive_update(one)
             call(other, *told)
 
         self.model.net.send(self.address, other.address, 60 + 12 * len(news), arrive)
 
-    def take(self) -> list[tuple[str, int, int]]:
+    def next_updates(self) -> list[tuple[str, int, int]]:
         most = 3 * max(1, len(self.model.numbers).bit_length())
-        chosen = sorted(self.told, key=lambda x: self.told[x])[:8]
+        chosen = sorted(self.send_counts, key=lambda x: self.send_counts[x])[:8]
         for one in chosen:
-            self.told[one] += 1
-            if self.told[one] >= most:
-                del self.told[one]
+            self.send_counts[one] += 1
+            if self.send_counts[one] >= most:
+                del self.send_counts[one]
         return chosen
 
-    def tell(self, what: str, about: int, incarnation: int) -> None:
-        self.hear((what, about, incarnation))
+    def announce(self, what: str, about: int, incarnation: int) -> None:
+        self.receive_update((what, about, incarnation))
 
-    def hear(self, news: tuple[str, int, int]) -> None:
+    def receive_update(self, news: tuple[str, int, int]) -> None:
         if news not in self.seen:
             self.seen.add(news)
-            self.told[news] = 0
+            self.send_counts[news] = 0
             self.learn(*news)
 
     def learn(self, what: str, about: int, incarnation: int) -> None:
@@ -82,14 +82,14 @@
     def tick(self) -> None:
         raise NotImplementedError
 
-    def out(self, number: int) -> None:
-        if number not in self.gone:
-            self.gone.add(number)
+    def remove(self, number: int) -> None:
+        if number not in self.removed:
+            self.removed.add(number)
             self.model.removals.append((self.now, self.number, number))
 
-    def back(self, number: int) -> None:
-        if number in self.gone:
-            self.gone.discard(number)
+    def restore(self, number: int) -> None:
+        if number in self.removed:
+            self.removed.discard(number)
             self.model.returns.append((self.now, self.number, number))
 
 
@@ -101,22 +101,24 @@
         self.order: list[int] = []
         self.waiting: dict[int, float] = {}  # who was asked, and when
         self.suspects: dict[int, tuple[int, float, set[int]]] = {}
-        self.lives: dict[int, int] = {}  # the highest incarnation heard of each
+        self.incarnations: dict[int, int] = {}  # the highest incarnation heard of each
         self.health = 0
 
     @property
-    def slow(self) -> float:
+    def period_factor(self) -> float:
         return 1.0
 
     def tick(self) -> None:
-        self.model.net.timer(self.process, PERIOD_MS * self.slow, self.tick)
-        for number in [x for x in self.waiting if self.now - self.waiting[x] >= 0.9 * PERIOD_MS * self.slow]:
+        self.model.net.timer(self.process, PERIOD_MS * self.period_factor, self.tick)
+        for number in [
+            x for x in self.waiting if self.now - self.waiting[x] >= 0.9 * PERIOD_MS * self.period_factor
+        ]:
             del self.waiting[number]
             self.missed(number)
         for number, (incarnation, since, by) in list(self.suspects.items()):
-            if self.now - since >= self.patience(len(by)):
+            if self.now - since >= self.suspicion_timeout_ms(len(by)):
                 del self.suspects[number]
-                self.tell("dead", number, incarnation)
+                self.announce("dead", number, incarnation)
         if not self.order:
             self.order = self.others()
             self.random.shuffle(self.order)
@@ -124,7 +126,7 @@
             number = self.order.pop()
             self.waiting[number] = self.now
             self.send(number, Swim.asked, self.number, self.number)
-            wait = 0.4 * PERIOD_MS * self.slow
+            wait = 0.4 * PERIOD_MS * self.period_factor
             self.model.net.timer(self.process, wait, lambda: self.helped(number))
 
     def helped(self, number: int) -> None:
@@ -154,29 +156,29 @@
         pass
 
     def missed(self, number: int) -> None:
-        if number not in self.gone:
-            self.tell("suspect", number, self.lives.get(number, 0))
+        if number not in self.removed:
+            self.announce("suspect", number, self.incarnations.get(number, 0))
 
-    def patience(self, confirmations: int) -> float:
+    def suspicion_timeout_ms(self, confirmations: int) -> float:
         return 4.0 * math.log10(max(3, len(self.model.numbers))) * PERIOD_MS
 
     def learn(self, what: str, about: int, incarnation: int) -> None:
         if about == self.number:
             if what != "alive" and incarnation >= self.incarnation:
                 self.incarnation = incarnation + 1
-                self.tell("alive", self.number, self.incarnation)
+                self.announce("alive", self.number, self.incarnation)
                 self.accused()
-        elif what != "alive" and incarnation < self.lives.get(about, 0):
+        elif what != "alive" and incarnation < self.incarnations.get(about, 0):
             return  # it has been refuted
-        elif what == "suspect" and about not in self.gone:
+        elif what == "suspect" and about not in self.removed:
             self.suspects.setdefault(about, (incarnation, self.now, set()))[2].add(incarnation)
         elif what == "dead":
             self.suspects.pop(about, None)
-            self.out(about)
-        elif what == "alive" and incarnation > self.lives.get(about, 0):
-            self.lives[about] = incarnation
+            self.remove(about)
+        elif what == "alive" and incarnation > self.incarnations.get(about, 0):
+            self.incarnations[about] = incarnation
             self.suspects.pop(about, None)
-            self.back(about)
+            self.restore(about)
 
     def accused(self) -> None:
         pass
@@ -200,7 +202,7 @@
         self.health = min(8, self.health + 1)
 
     def patience(self, confirmations: int) -> float:
-        least = super().patience(0)
+        least = super().suspicion_timeout_ms(0)
         most = 6.0 * least
         return max(least, most - (most - least) * math.log(confirmations + 1) / math.log(4))
 
@@ -226,7 +228,7 @@
             spread = max(100.0, math.sqrt(sum((x - mean) ** 2 for x in gaps) / len(gaps)) if gaps else 100.0)
             later = 0.5 * math.erfc((self.now - last - mean) / spread / math.sqrt(2.0))
             if later < 1e-8:
-                self.out(number)
+                self.remove(number)
 
     def beat(self, number: int) -> None:
         if number in self.last:
@@ -235,10 +237,10 @@
         else:
             self.gaps[number] = []
         self.last[number] = self.now
-        self.back(number)
+        self.restore(number)
 
 
-class Cut(Node):
+class MultiObserverCut(Node):
     """Ten observers; an alert after four of ten questions missed; nine alerts and a 3/4 quorum remove."""
 
     OBSERVERS, HIGH, QUORUM = 10, 0.9, 0.75
@@ -251,7 +253,7 @@
         self.votes: dict[int, set[int]] = {}
 
     def pair(self, number: int) -> tuple[frozenset[str], frozenset[str]]:
-        names = tuple(f"{x:04d}" for x in self.model.numbers if x not in self.gone)
+        names = tuple(f"{x:04d}" for x in self.model.numbers if x not in self.removed)
         return watch_relations(names, self.OBSERVERS).get(f"{number:04d}", (frozenset(), frozenset()))
 
     def tick(self) -> None:
@@ -263,12 +265,12 @@
                 results.append(False)
             del results[:-10]
             if results.count(False) >= 4:
-                self.tell("alert", number, self.number)
+                self.announce("alert", number, self.number)
             self.asked_at[number] = self.now
-            self.send(number, Cut.asked, self.number)
+            self.send(number, MultiObserverCut.asked, self.number)
 
     def asked(self, asker: int) -> None:
-        self.send(asker, Cut.answered, self.number)
+        self.send(asker, MultiObserverCut.answered, self.number)
 
     def answered(self, number: int) -> None:
         if self.asked_at.pop(number, None) is not None:
@@ -281,11 +283,11 @@
             # An observer that is itself under alert counts as alerting (the paper's implicit alerts).
             heard = {x for x in observers if x in self.alerts[about] or self.alerts.get(x)}
             if observers and len(heard & observers) >= self.HIGH * len(observers):
-                self.tell("vote", about, self.number)
+                self.announce("vote", about, self.number)
         elif what == "vote":
             self.votes.setdefault(about, set()).add(by)
-            if len(self.votes[about]) >= self.QUORUM * (len(self.model.numbers) - len(self.gone)) - 1:
-                self.out(about)
+            if len(self.votes[about]) >= self.QUORUM * (len(self.model.numbers) - len(self.removed)) - 1:
+                self.remove(about)
 
 
 class Model:
@@ -309,10 +311,10 @@
         self.net.change(self.nodes[one].address, self.nodes[other].address, cut=True)
 
     def views(self) -> int:
-        return len({frozenset(x.gone) for x in self.nodes if x.process.alive})
+        return len({frozenset(x.removed) for x in self.nodes if x.process.alive})
 
 
-class Ours:
+class Cloverhinge:
     """The real core under the same acts."""
 
     def __init__(self, count: int, seed: int) -> None:
@@ -350,15 +352,17 @@
     "SWIM, suspicion": lambda n, seed: Model(Swim, n, seed),
     "SWIM, local health": lambda n, seed: Model(Lifeguard, n, seed),
     "all-to-all, phi 8": lambda n, seed: Model(Phi, n, seed),
-    "observers' cut, quorum": lambda n, seed: Model(Cut, n, seed),
-    "members/": Ours,
+    "observers' cut, quorum": lambda n, seed: Model(MultiObserverCut, n, seed),
+    "members/": Cloverhinge,
 }
 
 
-KNOWN_MS = 40_000.0  # given for all to know of a kill; after it the way counts as one that never tells all
+DETECTION_LIMIT_MS = (
+    40_000.0  # given for all to know of a kill; after it the way counts as one that never tells all
+)
 
 
-def detected(way: str, count: int, seed: int) -> tuple[float, float]:
+def measure_detection(way: str, count: int, seed: int) -> tuple[float, float]:
     """Messages a member a second when nothing happens, and the time until all know of a kill (nan: never)."""
     calm = WAYS[way](count, seed)
     calm.net.run(2000.0)
@@ -367,7 +371,7 @@
     rate = (calm.net.messages - before) / count / 4.0
     begun, victim = calm.net.now, count // 2
     calm.kill(victim)
-    while calm.net.now < begun + KNOWN_MS:
+    while calm.net.now < begun + DETECTION_LIMIT_MS:
         calm.net.run(500.0)
         known = {by: at for at, by, about in calm.removals if about == victim}
         if len(known) >= count - 1:
@@ -375,7 +379,7 @@
     return rate, math.nan
 
 
-def wrongly_out(way: str, count: int, seed: int, span: float) -> float:
+def measure_wrong_removals(way: str, count: int, seed: int, span: float) -> float:
     """Members held for dead a minute that were not, under losses and pauses; once in 5 s for each."""
     rough = WAYS[way](count, seed + 100)
     rough.net.usual = Way(loss=0.2)
@@ -390,7 +394,7 @@
     return len({(round(at / 5000.0), about) for at, _, about in rough.removals}) * 60_000.0 / span
 
 
-def one_sided(way: str, count: int, seed: int, span: float) -> tuple[float, float]:
+def measure_one_sided_cut(way: str, count: int, seed: int, span: float) -> tuple[float, float]:
     """Removals and returns, and views at the end, when A's messages to B alone are cut."""
     sided = WAYS[way](count, seed + 200)
     sided.net.run(3000.0)
@@ -409,14 +413,14 @@
 Task = tuple[str, str, int, int]
 
 
-def played(task: Task) -> tuple[float, ...]:
+def run_task(task: Task) -> tuple[float, ...]:
     what, way, count, seed = task
     rough, sided = SPANS[count]
     if what == "detect":
-        return detected(way, count, seed)
+        return measure_detection(way, count, seed)
     if what == "wrong":
-        return (wrongly_out(way, count, seed, rough),)
-    return one_sided(way, count, seed, sided)
+        return (measure_wrong_removals(way, count, seed, rough),)
+    return measure_one_sided_cut(way, count, seed, sided)
 
 
 def main() -> None:
@@ -429,7 +433,7 @@
     ]
     tasks.sort(key=lambda x: (-x[2], x[1] != "all-to-all, phi 8"))  # the longest first
     with ProcessPoolExecutor() as pool:
-        seen = dict(zip(tasks, pool.map(played, tasks), strict=True))
+        seen = dict(zip(tasks, pool.map(run_task, tasks), strict=True))
     rows: Rows = []
     for count in SPANS:
         for way in WAYS:
@@ -453,7 +457,7 @@
                     "messages a member a second": mean("detect"),
                 }
             )
-    keep(
+    write_results(
         "members_ways",
         "Ways of membership weighed",
         [
--- a/benchmarks/operation_days.py
+++ b/benchmarks/operation_days.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from statistics import mean
 
-from benchmarks.tables import keep
+from benchmarks.tables import write_results
 
 JOURNAL = Path(__file__).parent.parent / "journal"
 WEIGHTS = {  # as the page of the days of operation gives them
@@ -22,7 +22,7 @@
     "upgrade+hand+scrape": 1,
     "disco": 1,
 }
-BROKEN = ("dup", "drain", "failback", "lost", "own")
+RULES = ("dup", "drain", "failback", "lost", "own")
 
 
 def plays() -> list[dict[str, object]]:
@@ -34,7 +34,7 @@
         for day in told["days"]:
             if day.get("name") in WEIGHTS and day.get("G_top") is not None and day.get("sound", True):
                 rules = day.get("rules") or {}
-                broken = ", ".join(x for x in BROKEN if rules.get(x)) or ("fault" if day.get("fault") else "")
+                broken = ", ".join(x for x in RULES if rules.get(x)) or ("fault" if day.get("fault") else "")
                 rows.append(
                     {
                         "at": told["at"][0],
@@ -50,7 +50,7 @@
     return sorted(rows, key=lambda row: str(row["at"]))
 
 
-def summed(rows: list[dict[str, object]]) -> list[dict[str, object]]:
+def summarize_by_day(rows: list[dict[str, object]]) -> list[dict[str, object]]:
     found = []
     for name, weight in WEIGHTS.items():
         scores = [float(str(row["score"])) for row in rows if row["day"] == name]
@@ -71,11 +71,14 @@
 def main() -> None:
     since, rows = sys.argv[1] if len(sys.argv) > 1 else "", plays()
     later = [row for row in rows if str(row["at"]) >= since]
-    keep(
+    write_results(
         "operation",
         "The days of operation",
         [
-            (f"By day, plays since {since or 'the first'}; a broken rule counts as 0.", summed(later)),
+            (
+                f"By day, plays since {since or 'the first'}; a broken rule counts as 0.",
+                summarize_by_day(later),
+            ),
             (
                 "Each play, all versions; `+`: with changes that were not committed; `broken`: the rules.",
                 rows,
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -14,42 +14,44 @@
 import sys
 from typing import Any
 
-from benchmarks.tables import keep
-from benchmarks.world import NOTES_MS, Crowd, World, settings
+from benchmarks.tables import write_results
+from benchmarks.world import LOAD_REPORT_PERIOD_MS, Crowd, World, settings
 from cloverhinge.core.model import Attempt, Request, State
 from cloverhinge.decision import interface as api
 from cloverhinge.decision.interface import Outcome
 
-REQUESTS, POINTS = 1_000_000, 10
-BOXES, PLACES = 24, 20
-PER_S = 40.0  # of newcomers; room is for 48 a second at the floor, so that some are refused
-REPLACE_MS = 20_000.0  # pace at which boxes are replaced
-LEAVE_MS = 15_000.0  # from its drain to its end
-ERRS, SILENT, CUT = 0.01, 0.01, 0.02  # shares of set-ups, and of sessions
+REQUESTS, SAMPLES = 1_000_000, 10
+SERVERS, PLACES = 24, 20
+ARRIVALS_PER_S = 40.0  # of newcomers; room is for 48 a second at the floor, so that some are refused
+REPLACE_PERIOD_MS = 20_000.0  # pace at which boxes are replaced
+DRAIN_MS = 15_000.0  # from its drain to its end
+ERROR_SHARE, SILENT_SHARE, CUT_SHARE = 0.01, 0.01, 0.02  # shares of set-ups, and of sessions
 PROBE_MS = 5.0
 
 
-class Site(World):
+class ChangingWorld(World):
     """The small site with boxes that come, err, fall silent and go."""
 
     def __init__(self, told: api.Settings, crowds: list[Crowd], seed: int) -> None:
-        super().__init__(told, crowds, seed, BOXES)
+        super().__init__(told, crowds, seed, SERVERS)
         self.router.prober = self
-        self.next_box = 10 + BOXES
-        self.deadlines.after(REPLACE_MS, self._replace)
+        self.next_server = 10 + SERVERS
+        self.deadlines.after(REPLACE_PERIOD_MS, self._replace)
 
     def _replace(self) -> None:
         at = self.random.randrange(len(self.listings))
         old = self.listings[at]
-        new = api.ServerListing(self.next_box, old.cell, "z", "box", started_us=int(self.clock.now() * 1000))
-        self.next_box += 1
+        new = api.ServerListing(
+            self.next_server, old.cell, "z", "box", started_us=int(self.clock.now() * 1000)
+        )
+        self.next_server += 1
         self.listings[at] = new
         self.load[new.server] = {}
         gone = api.ServerListing(old.server, old.cell, "z", "box", health=api.Health.GONE)
         leaving = api.ServerListing(old.server, old.cell, "z", "box", health=api.Health.DRAINING)
         self.router.update_fleet(api.ListKind.DELTA, (leaving, new))
-        self.deadlines.after(LEAVE_MS, lambda: self._gone(gone))
-        self.deadlines.after(REPLACE_MS, self._replace)
+        self.deadlines.after(DRAIN_MS, lambda: self._gone(gone))
+        self.deadlines.after(REPLACE_PERIOD_MS, self._replace)
 
     def _gone(self, listing: api.ServerListing) -> None:
         self.load.pop(listing.server, None)
@@ -57,15 +59,15 @@
 
     def set_up(self, attempt: Attempt) -> None:
         chance = self.random.random()
-        if chance < SILENT:
+        if chance < SILENT_SHARE:
             if self.router.may_write(attempt):
                 return
-        elif chance < SILENT + ERRS:
-            self.deadlines.after(PROBE_MS, lambda: self._err(attempt))
+        elif chance < SILENT_SHARE + ERROR_SHARE:
+            self.deadlines.after(PROBE_MS, lambda: self._fail(attempt))
             return
         super().set_up(attempt)
 
-    def _err(self, attempt: Attempt) -> None:
+    def _fail(self, attempt: Attempt) -> None:
         if self.router.may_write(attempt):
             self.router.attempt_ended(attempt, Outcome.ERROR)
 
@@ -76,9 +78,9 @@
             self.router.attempt_ended(attempt, Outcome.RESET)
 
     def _ends(self, request: Request) -> None:
-        if request.state is State.ESTABLISHED and self.random.random() < CUT:
+        if request.state is State.ESTABLISHED and self.random.random() < CUT_SHARE:
             self.router.cut(request)
-        super()._ends(request)
+        super()._end_session(request)
 
     def probe(self, server: int) -> None:
         self.deadlines.after(PROBE_MS, lambda: self._probed(server))
@@ -88,7 +90,7 @@
         if sessions is None:
             self.router.probed(server, Outcome.CONNECT_FAILED, PROBE_MS, None)
             return
-        report = api.LoadReport(len(sessions), self.link(sessions), None)
+        report = api.LoadReport(len(sessions), self.link_load(sessions), None)
         self.router.probed(server, Outcome.SERVED, PROBE_MS, report)
 
 
@@ -98,7 +100,7 @@
         return next(int(line.split()[1]) for line in file if line.startswith("VmRSS")) / 1024.0
 
 
-def tables(site: Site) -> dict[str, int]:
+def table_sizes(site: ChangingWorld) -> dict[str, int]:
     """Entries of everything that a router holds between two events, by name."""
     router = site.router
     module, fleet = router.controller, router.controller.fleet
@@ -131,23 +133,25 @@
 
 def main(requests: int) -> None:
     told = settings(
-        BOXES,
+        SERVERS,
         PLACES,
         racks=4,
-        uplink_kb=BOXES * PLACES * 100.0 / 4,
+        uplink_kb=SERVERS * PLACES * 100.0 / 4,
         may_probe=True,
         cold_us=5_000_000,
         cold_from=0.5,
         fall_multiple=2.0,
     )
-    crowd = Crowd("all", "198.18.0.1", PER_S, titles=400, fresh_ms=600_000.0, checks=0.2)
-    site = Site(told, [crowd], seed=1)
+    crowd = Crowd(
+        "all", "198.18.0.1", ARRIVALS_PER_S, titles=400, title_lifetime_ms=600_000.0, check_share=0.2
+    )
+    site = ChangingWorld(told, [crowd], seed=1)
     points: list[dict[str, Any]] = []
-    while len(points) < POINTS:
-        site.run(NOTES_MS)
+    while len(points) < SAMPLES:
+        site.run(LOAD_REPORT_PERIOD_MS)
         crowd.tally.waits_ms.clear()  # of the model, one for each that was served
         crowd.tally.served_ms.clear()
-        if site.router.counters.taken * POINTS >= requests * (len(points) + 1):
+        if site.router.counters.taken * SAMPLES >= requests * (len(points) + 1):
             counted = site.router.counters
             points.append(
                 {
@@ -156,24 +160,24 @@
                     "refused": counted.refused,
                     "failed": counted.failed,
                     "cut": counted.cut,
-                    "boxes so far": site.next_box - 10,
+                    "boxes so far": site.next_server - 10,
                     "hours": (site.clock.now() - site.start_ms) / 3.6e6,
                     "resident MB": round(resident_mb(), 2),
                 }
-                | tables(site)
+                | table_sizes(site)
             )
             print(f"{counted.taken} requests, {points[-1]['resident MB']} MB", flush=True)
     rows: list[dict[str, Any]] = [
         {"what": name} | {str(at): point[name] for at, point in enumerate(points, 1)} for name in points[0]
     ]
-    half = points[POINTS // 2 - 1]
-    grown = [name for name in tables(site) if points[-1][name] > 1.5 * max(half[name], 50)]
-    keep(
+    half = points[SAMPLES // 2 - 1]
+    grown = [name for name in table_sizes(site) if points[-1][name] > 1.5 * max(half[name], 50)]
+    write_results(
         "soak",
         "A long life of one router",
         [
             (
-                f"{requests:,} requests in virtual time, {POINTS} points.  "
+                f"{requests:,} requests in virtual time, {SAMPLES} points.  "
                 f"Over its second half the resident memory "
                 f"changed by "
                 f"{points[-1]['resident MB'] - half['resident MB']:+.2f} MB; tables that grew by more "
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -9,9 +9,9 @@
 import time
 from pathlib import Path
 
-from benchmarks.custody import final, paced
-from benchmarks.members import OPTIMIZED, Rows, share
-from benchmarks.tables import keep
+from benchmarks.custody import final_status, sequential_set_ups
+from benchmarks.members import OPTIMIZED, Rows, percentile
+from benchmarks.tables import write_results
 from cloverhinge.lab import viewers
 from cloverhinge.lab.harness import Quick
 from cloverhinge.lab.media import set_ups
@@ -22,7 +22,7 @@
 ROUTERS, PLAYS, ROUNDS = 5, 40, 3
 
 
-def restarted(made: Rig, plays: range) -> dict[str, float]:
+def restart_all(made: Rig, plays: range) -> dict[str, float]:
     """All are killed and started; ms from the last start until all vote, and until each play is answered."""
     for router in made.routers:
         router.kill()
@@ -33,11 +33,11 @@
         router.until_started()
     until_rostered(made, 30.0)
     voted = made.record.now() - begun
-    told = [final(made, made[(number + 1) % ROUTERS], number) for number in plays]
+    told = [final_status(made, made[(number + 1) % ROUTERS], number) for number in plays]
     return {"votes": voted, "answered": made.record.now() - begun, "200": told.count(200)}
 
 
-def returns(stores: bool) -> dict[str, object]:
+def measure_restarts(stores: bool) -> dict[str, object]:
     rows = []
     with (
         tempfile.TemporaryDirectory() as name,
@@ -45,9 +45,9 @@
     ):
         for at in range(ROUNDS):
             plays = range(at * PLAYS, (at + 1) * PLAYS)
-            before = [final(made, made[number % ROUTERS], number) for number in plays]
+            before = [final_status(made, made[number % ROUTERS], number) for number in plays]
             assert before.count(200) == PLAYS, (before, made.record.tail())
-            rows.append(restarted(made, plays))
+            rows.append(restart_all(made, plays))
             for box in made.boxes:  # room for the next round's
                 for session in list(box.sessions):
                     box.end(session)
@@ -63,16 +63,16 @@
     }
 
 
-def spread(values: list[float]) -> dict[str, object]:
+def summary(values: list[float]) -> dict[str, object]:
     return {
         "n": len(values),
-        "p50 ms": share(values, 0.5),
-        "p99 ms": share(values, 0.99),
+        "p50 ms": percentile(values, 0.5),
+        "p99 ms": percentile(values, 0.99),
         "most ms": max(values),
     }
 
 
-def waits(stores: bool, count: int = 400) -> dict[str, object]:
+def measure_waits(stores: bool, count: int = 400) -> dict[str, object]:
     boxes = [Quick(f"s-{n:08x}", n) for n in range(2)]
     tables = "[custody]\nrouters = 5\n" + ('[store]\nfolder = "{folder}/store"\n' if stores else "")
     with (
@@ -80,8 +80,8 @@
         rig(Path(name), ROUTERS, pumps=boxes, gated=False, program=OPTIMIZED, tables=tables) as made,
     ):
         until_rostered(made)
-        took = paced(made, made[0], "paid", 1, count)
-    return {"stores": "on" if stores else "off", **spread(took)}
+        took = sequential_set_ups(made, made[0], "paid", 1, count)
+    return {"stores": "on" if stores else "off", **summary(took)}
 
 
 def commits() -> Rows:
@@ -96,7 +96,7 @@
                 begun = time.monotonic()
                 folder.commit({f"s/{at * size + n}": b"x" * 500 for n in range(size)})
                 took.append(1000.0 * (time.monotonic() - begun))
-            rows.append({"rows in a commit": size, **spread(took)})
+            rows.append({"rows in a commit": size, **summary(took)})
         for at in range(0, 65_536, 4096):
             folder.commit({f"s/{n}": b"x" * 500 for n in range(at, at + 4096)})
         count = folder.row_count
@@ -104,14 +104,14 @@
         begun = time.monotonic()
         folder.open()
         rows.append(
-            {"rows in a commit": f"opened with {count}", **spread([1000.0 * (time.monotonic() - begun)])}
+            {"rows in a commit": f"opened with {count}", **summary([1000.0 * (time.monotonic() - begun)])}
         )
         folder.close()
     return rows
 
 
 def main() -> None:
-    keep(
+    write_results(
         "store",
         "The store",
         [
@@ -119,9 +119,12 @@
                 f"{ROUTERS} routers with {PLAYS} paid plays told, all killed "
                 f"and started together, then each play "
                 "fetched at another router.",
-                [returns(False), returns(True)],
+                [measure_restarts(False), measure_restarts(True)],
+            ),
+            (
+                "Paid set-ups over RTSP one after the other: ms until the answer.",
+                [measure_waits(False), measure_waits(True)],
             ),
-            ("Paid set-ups over RTSP one after the other: ms until the answer.", [waits(False), waits(True)]),
             ("The folder alone: ms for a commit, and for opening a full one.", commits()),
         ],
         "python -m benchmarks.store",
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -20,41 +20,41 @@
 from cloverhinge.decision.interface import Outcome
 
 SET_UP_MS = 30.0  # what a box takes for one
-NOTES_MS = 1000.0  # pace of the loads that boxes tell
+LOAD_REPORT_PERIOD_MS = 1000.0  # pace of the loads that boxes tell
 CLASSES = (
     api.ServiceClass("coaching", aim_us=1_500_000, deadline_us=5_000_000, worth=1.0),
     api.ServiceClass("check", effect=api.Effect.ONCE, aim_us=1_500_000, deadline_us=3_000_000, worth=2.0),
 )
-FLOOR_KB, MARK = 100.0, 0.9
+FLOOR_KB, LOAD_LIMIT = 100.0, 0.9
 
 
-def settings(boxes: int, each: int, **more: Any) -> api.Settings:
+def settings(servers: int, sessions_per_server: int, **more: Any) -> api.Settings:
     """A fleet on which `each` sessions at the floor fit on a box."""
-    told: dict[str, Any] = dict(
+    fields: dict[str, Any] = dict(
         classes=CLASSES,
         ladder_kb=(FLOOR_KB, 2 * FLOOR_KB),
         rung_worth=(0.8, 1.0),
-        places_by_kind={"box": 2 * each},
-        weight_kb=FLOOR_KB * (each + 0.5) / MARK,
-        cells=boxes,
+        places_by_kind={"box": 2 * sessions_per_server},
+        weight_kb=FLOOR_KB * (sessions_per_server + 0.5) / LOAD_LIMIT,
+        cells=servers,
         max_attempts=3,
         max_retry_after_us=1_000_000,
         notes_late_us=100_000,
         told_every_us=1_000_000,
     )
-    return api.Settings(**{**told, **more})
+    return api.Settings(**{**fields, **more})
 
 
 @dataclass
 class Tally:
     """What became of the viewers of a client."""
 
-    came: int = 0
+    arrived: int = 0
     served: int = 0
-    gone: int = 0  # whose patience ended
+    gave_up: int = 0  # whose patience ended
     asked: int = 0
     back: int = 0  # came back as told
-    back_in: int = 0  # and were served then
+    served_after_return: int = 0  # and were served then
     waits_ms: list[float] = field(default_factory=list)  # to the answer, of those served at that try
     served_ms: list[float] = field(default_factory=list)  # from first coming to being served
 
@@ -62,29 +62,33 @@
 @dataclass(eq=False)
 class Viewer:
     world: World
-    who: Crowd
+    crowd: Crowd
     class_name: str
     name: str
-    came_ms: float
+    arrived_ms: float
     length_ms: float
     tries: int = 0
-    asked_ms: float = 0.0
+    requested_ms: float = 0.0
     request: Request | None = None
-    ticket: str = ""
+    reservation_token: str = ""
     title: str = ""
 
-    def ask(self) -> None:
+    def request_set_up(self) -> None:
         self.tries += 1
-        self.asked_ms = self.world.clock.now()
-        tally = self.who.tally
+        self.requested_ms = self.world.clock.now()
+        tally = self.crowd.tally
         tally.asked += 1
         tally.back += self.tries > 1
         limit = 3000.0 if self.class_name == "check" else 5000.0
         self.world.count += 1
-        peer = self.who.peer if self.who.peers == 1 else f"198.18.{self.world.count % self.who.peers}.7"
+        peer = (
+            self.crowd.address
+            if self.crowd.addresses == 1
+            else f"198.18.{self.world.count % self.crowd.addresses}.7"
+        )
         if not self.title:
-            self.title = self.who.pick(self.world.random, self.asked_ms - self.world.start_ms)
-        ask = SetUpRequest(
+            self.title = self.crowd.choose_title(self.world.random, self.requested_ms - self.world.start_ms)
+        set_up = SetUpRequest(
             f"{self.world.count:016x}",
             self.class_name,
             self.title,
@@ -95,31 +99,31 @@
             length_ms=self.length_ms * self.world.random.lognormvariate(0, 0.3),
             viewer_id=self.name,
             peer_address=peer,
-            reservation_token=self.ticket if self.who.carries else "",
+            reservation_token=self.reservation_token if self.crowd.sends_reservation_token else "",
         )
-        if self.world.router.open_request(ask, self, self.world) is None:
+        if self.world.router.open_request(set_up, self, self.world) is None:
             self.refused(1000.0)
 
     def served(self, answer: bytes) -> None:
-        now, tally = self.world.clock.now(), self.who.tally
+        now, tally = self.world.clock.now(), self.crowd.tally
         tally.served += 1
-        tally.back_in += self.tries > 1
-        tally.waits_ms.append(now - self.asked_ms)
-        tally.served_ms.append(now - self.came_ms)
+        tally.served_after_return += self.tries > 1
+        tally.waits_ms.append(now - self.requested_ms)
+        tally.served_ms.append(now - self.arrived_ms)
 
-    def refused(self, hold_off_ms: float, ticket: str = "") -> None:
+    def refused(self, retry_after_ms: float, reservation_token: str = "") -> None:
         now = self.world.clock.now()
-        told = max(min(hold_off_ms, self.who.cut_ms), 1.0)
-        if self.who.grain_ms > 1:
-            told = math.ceil(told / self.who.grain_ms) * self.who.grain_ms
-        self.ticket = ticket
-        if now + told - self.came_ms > self.who.patience_ms:
-            self.who.tally.gone += 1
-        elif self.world.random.random() < self.who.returning:
-            self.world.deadlines.after(told, self.ask)
-
-    def failed(self, why: Outcome | None) -> None:
-        self.who.tally.gone += 1
+        delay_ms = max(min(retry_after_ms, self.crowd.max_retry_after_ms), 1.0)
+        if self.crowd.retry_after_step_ms > 1:
+            delay_ms = math.ceil(delay_ms / self.crowd.retry_after_step_ms) * self.crowd.retry_after_step_ms
+        self.reservation_token = reservation_token
+        if now + delay_ms - self.arrived_ms > self.crowd.patience_ms:
+            self.crowd.tally.gave_up += 1
+        elif self.world.random.random() < self.crowd.return_share:
+            self.world.deadlines.after(delay_ms, self.request_set_up)
+
+    def failed(self, outcome: Outcome | None) -> None:
+        self.crowd.tally.gave_up += 1
 
     def released(self, cause: Cause) -> None:
         pass
@@ -138,84 +142,84 @@
     """Viewers of one client."""
 
     name: str
-    peer: str
+    address: str
     per_s: float
     until_ms: float = math.inf
     from_ms: float = 0.0
     title: str = "t"
     titles: int = 1  # so many, asked for by Zipf's law
-    fresh_ms: float = math.inf  # after so long all titles are new ones
-    checks: float = 0.0  # share of them that ask for a check
+    title_lifetime_ms: float = math.inf  # after so long all titles are new ones
+    check_share: float = 0.0  # share of them that ask for a check
     length_ms: float = 10_000.0
     spread: float = 0.5  # sigma of the lognormal lengths
-    cut_ms: float = math.inf  # the longest hold-off that its wire tells
-    grain_ms: float = 1.0
+    max_retry_after_ms: float = math.inf  # the longest hold-off that its wire tells
+    retry_after_step_ms: float = 1.0
     patience_ms: float = 90_000.0
-    returning: float = 1.0  # share that comes back when told to
-    carries: bool = False  # tickets
-    peers: int = 1  # addresses that they come from
+    return_share: float = 1.0  # share that comes back when told to
+    sends_reservation_token: bool = False  # tickets
+    addresses: int = 1  # addresses that they come from
     tally: Tally = field(default_factory=Tally)
 
-    def pick(self, rng: random.Random, since_ms: float) -> str:
+    def choose_title(self, rng: random.Random, since_ms: float) -> str:
         """The title that a viewer asks for so long after the start."""
         if self.titles == 1:
             return self.title
-        return f"{self.title}-{int(since_ms // self.fresh_ms)}-{int(self.titles ** rng.random())}"
+        return f"{self.title}-{int(since_ms // self.title_lifetime_ms)}-{int(self.titles ** rng.random())}"
 
 
 class World:
     def __init__(
         self,
-        told: api.Settings,
+        fleet_settings: api.Settings,
         crowds: list[Crowd],
         seed: int = 1,
-        boxes: int = 4,
+        servers: int = 4,
         start_ms: float = 1_700_000_000_000.0,
     ) -> None:
         self.clock = ManualClock(start_ms)
         self.start_ms = start_ms
         self.deadlines = Deadlines(self.clock)
-        self.router = Router(told, seed, self.clock, self.deadlines, max_requests=65536)
+        self.router = Router(fleet_settings, seed, self.clock, self.deadlines, max_requests=65536)
         self.random = random.Random(seed)
-        self.crowds, self.count, self.told = crowds, 0, told
+        self.crowds, self.count, self.settings = crowds, 0, fleet_settings
         self.load: dict[int, dict[int, Request]] = {}
-        self.listings = [api.ServerListing(10 + n, n, "z", "box") for n in range(boxes)]
+        self.listings = [api.ServerListing(10 + n, n, "z", "box") for n in range(servers)]
         self.router.update_fleet(api.ListKind.FULL, self.listings)
 
     def run(self, ms: float) -> None:
         """On by so much; arrivals start with the first call."""
         until = self.clock.now() + ms
         for crowd in self.crowds:
-            if not crowd.tally.came and crowd.per_s > 0:
-                self.deadlines.schedule(self.start_ms + crowd.from_ms, partial(self._next, crowd))
-                crowd.tally.came = 1
+            if not crowd.tally.arrived and crowd.per_s > 0:
+                self.deadlines.schedule(self.start_ms + crowd.from_ms, partial(self._arrive, crowd))
+                crowd.tally.arrived = 1
         if not self.load:
             self.load = {one.server: {} for one in self.listings}
-            self._tell_loads()
+            self._report_loads()
         while self.deadlines._due and (at := self.deadlines._due.peekitem(0)[0][0]) <= until:
             self.clock.time = max(self.clock.time, at)
             self.deadlines.run()
         self.clock.time = until
 
-    def _next(self, crowd: Crowd) -> None:
+    def _arrive(self, crowd: Crowd) -> None:
         now = self.clock.now()
         if now - self.start_ms < crowd.until_ms:
-            self.deadlines.after(self.random.expovariate(crowd.per_s) * 1000.0, lambda: self._next(crowd))
-            crowd.tally.came += 1
-            kind = "check" if self.random.random() < crowd.checks else "coaching"
+            self.deadlines.after(self.random.expovariate(crowd.per_s) * 1000.0, lambda: self._arrive(crowd))
+            crowd.tally.arrived += 1
+            kind = "check" if self.random.random() < crowd.check_share else "coaching"
             length = crowd.length_ms * self.random.lognormvariate(-(crowd.spread**2) / 2, crowd.spread)
-            Viewer(self, crowd, kind, f"{crowd.name}-{crowd.tally.came}", now, length).ask()
+            Viewer(self, crowd, kind, f"{crowd.name}-{crowd.tally.arrived}", now, length).request_set_up()
 
-    def link(self, sessions: dict[int, Request]) -> float:
+    def link_load(self, sessions: dict[int, Request]) -> float:
         """What these ask of a box's link over what it gives."""
-        return sum(self.told.ladder_kb[x.rung or 0] for x in sessions.values()) / self.told.weight_kb
+        return sum(self.settings.ladder_kb[x.rung or 0] for x in sessions.values()) / self.settings.weight_kb
 
-    def _tell_loads(self) -> None:
+    def _report_loads(self) -> None:
         for server, sessions in self.load.items():
             first = next(iter(sessions.values()), None)
             if first is not None:
-                self.router.session_event(first, api.LinkNote(first.handle, server, self.link(sessions)))
-        self.deadlines.after(NOTES_MS, self._tell_loads)
+                self.router.session_event(first, api.LinkNote(first.handle, server, self.link_load(sessions)))
+        self.deadlines.after(LOAD_REPORT_PERIOD_MS, self._report_loads)
 
     # Boxes
 
@@ -227,9 +231,9 @@
         if self.router.may_write(attempt) and self.router.answered(attempt, b"made"):
             self.load[attempt.server][request.handle] = request
             viewer: Any = request.client
-            self.deadlines.after(viewer.length_ms, lambda: self._ends(request))
+            self.deadlines.after(viewer.length_ms, lambda: self._end_session(request))
 
-    def _ends(self, request: Request) -> None:
+    def _end_session(self, request: Request) -> None:
         if request.state is State.ESTABLISHED:
             self.router.session_ended(request, Outcome.SERVED)
         for sessions in self.load.values():
--- a/example/demo.py
+++ b/example/demo.py
@@ -24,7 +24,7 @@
 
 
 @contextmanager
-def started(*words: str, **more: object) -> Iterator[subprocess.Popen[str]]:
+def running_process(*words: str, **more: object) -> Iterator[subprocess.Popen[str]]:
     """A process that is told to end, and waited for, whatever happens."""
     process: subprocess.Popen[str] = subprocess.Popen(  # type: ignore[call-overload]
         [sys.executable, *words], cwd=ROOT, text=True, **more
@@ -36,7 +36,7 @@
         process.wait(WAIT_S)
 
 
-def until(lines: IO[str] | None, *patterns: str) -> list[str]:
+def read_until(lines: IO[str] | None, *patterns: str) -> list[str]:
     """Reads up to the line that brings the last pattern not met yet; what the patterns' groups hold."""
     found: dict[str, str] = {}
     for line in lines or ():
@@ -57,7 +57,7 @@
 def main() -> None:
     with (
         tempfile.TemporaryDirectory() as name,
-        started(str(ROOT / "example/toy.py"), "0", stdout=subprocess.PIPE) as toy,
+        running_process(str(ROOT / "example/toy.py"), "0", stdout=subprocess.PIPE) as toy,
     ):
         folder = Path(name)
         assert toy.stdout is not None
@@ -71,7 +71,7 @@
         text = re.sub(r'^listen = "127\.0\.0\.1:\d+"', 'listen = "127.0.0.1:0"', text, flags=re.M)
         site = folder / "site.toml"
         site.write_text(text)
-        with started(
+        with running_process(
             "-m",
             "cloverhinge",
             "serve",
@@ -80,7 +80,7 @@
             stderr=subprocess.PIPE,
             env={**os.environ, "LB_CONFIG": str(folder / "config.json")},
         ) as router:
-            hls, admin, _ = until(
+            hls, admin, _ = read_until(
                 router.stderr, r"HLS on 127\.0\.0\.1:(\d+)", r"admin on 127\.0\.0\.1:(\d+)", r"(2) listed"
             )
             print("A player asks for coaching/intro over HLS and gets a manifest of its own:\n")
--- a/example/toy.py
+++ b/example/toy.py
@@ -25,7 +25,7 @@
 )
 
 
-async def read(reader: asyncio.StreamReader) -> tuple[list[str], Headers, bytes]:
+async def read_message(reader: asyncio.StreamReader) -> tuple[list[str], Headers, bytes]:
     """A message of RTSP or HTTP: its first line's words, its fields and its body."""
     first = (await reader.readline()).decode().split()
     if not first:
@@ -37,29 +37,29 @@
     return first, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-class Box:
+class MediaServer:
     """Speaks RTSP as a pump does, and HTTP as the HLS front expects it of a media box."""
 
     def __init__(self, name: str) -> None:
         self.name, self.sessions = name, set[str]()
 
-    def say(self, text: str) -> None:
+    def log(self, text: str) -> None:
         print(f"{self.name}: {text}, {len(self.sessions)} sessions", flush=True)
 
     async def rtsp(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(EOFError, ConnectionError, asyncio.IncompleteReadError):
             while True:
-                words, headers, _ = await read(reader)
+                words, headers, _ = await read_message(reader)
                 if words[0].startswith("RTSP/"):
                     continue
                 session, fields, body = headers.get("session", ""), "", b""
                 if words[0] == "SETUP":
                     self.sessions.add(session)
-                    self.say(f"set up {session} at rung {headers.get('x-quality', 'lowest')}")
+                    self.log(f"set up {session} at rung {headers.get('x-quality', 'lowest')}")
                     body = f"v=0\r\ns={self.name}\r\n".encode()
                 elif words[0] == "TEARDOWN":
                     self.sessions.discard(session)
-                    self.say(f"released {session}")
+                    self.log(f"released {session}")
                 elif words[0] == "OPTIONS":
                     load = len(self.sessions) / 20
                     fields = f"X-Circuits: x0:{load:.3f};x1:{load / 2:.3f}\r\n"
@@ -75,23 +75,23 @@
     async def http(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(EOFError, ConnectionError, asyncio.IncompleteReadError):
             while True:
-                words, _, body = await read(reader)
-                status, answer = self.fetched(words[0], words[1].strip("/").split("/"), body)
+                words, _, body = await read_message(reader)
+                status, answer = self.respond(words[0], words[1].strip("/").split("/"), body)
                 head = f"HTTP/1.1 {status} Toy\r\nContent-Length: {len(answer)}\r\n\r\n"
                 writer.write(head.encode() + answer)
         writer.close()
 
-    def fetched(self, method: str, path: list[str], body: bytes) -> tuple[int, bytes]:
+    def respond(self, method: str, path: list[str], body: bytes) -> tuple[int, bytes]:
         if len(path) < 2 or path[0] != "sessions":
             return 404, b""
         session = path[1].split("?")[0]
         if method == "PUT":
             self.sessions.add(session)
-            self.say(f"set up {session} for HLS: {body.decode()}")
+            self.log(f"set up {session} for HLS: {body.decode()}")
             return 200, MASTER.replace("low", f"{session}/low").replace("high", f"{session}/high").encode()
         if method == "DELETE":
             self.sessions.discard(session)
-            self.say(f"released {session}")
+            self.log(f"released {session}")
             return 200, b""
         if path[-1].endswith(".ts"):
             return 200, b"\x47" + bytes(187)
@@ -117,7 +117,7 @@
 
     rows, places = [], {}
     for number in range(2):
-        box = Box(f"toy-{number + 1}")
+        box = MediaServer(f"toy-{number + 1}")
         where = await listen(box.rtsp, 1 + 2 * number)
         places[box.name] = {"rtsp": where, "http": await listen(box.http, 2 + 2 * number)}
         rows.append(
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,8 +7,8 @@
 
 from tests import guards, known_red
 
-guards.out()
+guards.remove_named_guard()
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    known_red.mark(items, known_red.listed())
+    known_red.mark(items, known_red.read_list())
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -13,28 +13,28 @@
 
 from cloverhinge.members import core, watch, wire
 from cloverhinge.ownership import component, placement, register, replica
-from cloverhinge.ownership import core as custody
-from cloverhinge.ownership import wire as custody_wire
+from cloverhinge.ownership import core as ownership_core
+from cloverhinge.ownership import wire as ownership_wire
 from tests import operations_guards, store_guards
 
-VARIABLE = "LAB_GUARD_OUT"
+GUARD_VARIABLE = "LAB_GUARD_OUT"
 
 
-def no_pauses() -> None:
+def without_pause_detection() -> None:
     def wake(self: core.Membership, now: float) -> None:
         self._last_ms = now
 
     core.Membership._detect_pause = wake  # type: ignore[method-assign]
 
 
-def no_way_round() -> None:
+def direct_reach_only() -> None:
     def direct(own: str, reachable: Any, records: Any, names: Any) -> set[str]:
         return {own, *reachable} & {own, *names}
 
     core.reachable_from = direct  # type: ignore[attr-defined]
 
 
-def last_words() -> None:
+def counts_unreachable_members() -> None:
     def believing(own: str, reachable: Any, records: Any, names: Any) -> set[str]:
         known = set(names)
         return {own, *reachable, *(x for name in known for x in records[name].reachable)} & {own, *known}
@@ -42,29 +42,29 @@
     core.reachable_from = believing  # type: ignore[attr-defined]
 
 
-def no_objection() -> None:
+def without_refutation() -> None:
     core.Membership._refute = lambda self, now, claim: None  # type: ignore[method-assign]
 
 
-def no_window() -> None:
+def without_replay_window() -> None:
     wire.ReplayWindow.accept = lambda self, number: True  # type: ignore[method-assign]
 
 
-def any_key() -> None:
+def without_signature_check() -> None:
     wire.Authenticator.verify = lambda self, signed_message: signed_message[wire.HEADER_BYTES :]  # type: ignore[method-assign]
 
 
-def any_word() -> None:
+def accepts_isolated_senders() -> None:
     core.Membership._merge = (  # type: ignore[method-assign]
         lambda self, now, message: self._apply_all(now, message.records)
     )
 
 
-def no_farewell() -> None:
+def without_leave_message() -> None:
     core.Membership.leave = lambda self, now: []  # type: ignore[method-assign]
 
 
-def no_hello() -> None:
+def without_rediscovery() -> None:
     hello = core.Membership._discover
 
     def only_joining(self: core.Membership) -> None:
@@ -74,15 +74,15 @@
     core.Membership._discover = only_joining  # type: ignore[method-assign]
 
 
-def no_twins() -> None:
+def without_name_conflicts() -> None:
     core.Membership._resolve_name_conflict = lambda self, now, run, source: None  # type: ignore[method-assign]
 
 
-def no_refusals() -> None:
+def ignores_refused_connections() -> None:
     watch.PeerMonitor.refusing = property(lambda self: False)  # type: ignore[assignment, method-assign]
 
 
-def one_observer() -> None:
+def removes_on_own_observation() -> None:
     verdict = core.Membership._death_reason
 
     def hasty(self: core.Membership, now: float, name: str, info: Any, observers: frozenset[str]) -> str:
@@ -91,15 +91,15 @@
         return verdict(self, now, name, info, observers)
 
     core.Membership._death_reason = hasty  # type: ignore[method-assign]
-    no_way_round()
+    direct_reach_only()
 
 
-def forgets_own_name() -> None:
-    core.Membership._handle_discover_reply = _welcome_without_own(core.Membership._handle_discover_reply)  # type: ignore[method-assign]
-    no_objection()
+def forgets_own_incarnations() -> None:
+    core.Membership._handle_discover_reply = _without_own_incarnations(core.Membership._handle_discover_reply)  # type: ignore[method-assign]
+    without_refutation()
 
 
-def _welcome_without_own(welcome: Any) -> Any:
+def _without_own_incarnations(welcome: Any) -> Any:
     def told(self: core.Membership, now: float, message: wire.DiscoverReply) -> None:
         message.about_receiver = None
         welcome(self, now, message)
@@ -107,7 +107,7 @@
     return told
 
 
-def resends() -> None:
+def resends_paid_requests() -> None:
     taken_over = register.value_after_takeover
 
     def again(found: Any, asker: str, intent: Any) -> Any:
@@ -118,15 +118,15 @@
     register.value_after_takeover = again
 
 
-def no_leases() -> None:
+def without_leases() -> None:
     replica.Replica.lease_left_ms = lambda self, owner, now: 0.0  # type: ignore[method-assign]
 
 
-def sends_unleased() -> None:
-    custody.OwnershipCore.may_act = lambda self, id, now: id in self.owned  # type: ignore[method-assign]
+def sends_without_lease() -> None:
+    ownership_core.OwnershipCore.may_act = lambda self, id, now: id in self.owned  # type: ignore[method-assign]
 
 
-def no_generations() -> None:
+def without_fencing() -> None:
     replica.Replica._fence = lambda self, owner: None  # type: ignore[method-assign]
 
 
@@ -136,151 +136,171 @@
     )
 
 
-def names_for_runs() -> None:
-    member: Any = custody_wire.Member
+def identifies_members_by_name() -> None:
+    member: Any = ownership_wire.Member
     member.member_id = property(lambda self: self.name)
     member.__eq__ = lambda self, other: self.name == other.name
     member.__hash__ = lambda self: hash(self.name)
 
 
-def no_holes() -> None:
+def without_loss_detection() -> None:
     placement.may_be_lost = lambda *_: False
 
 
-def claims_of_most() -> None:
+def accepts_majority_claims() -> None:
     """A claim counts once most keepers have taken it, as a write after a question does."""
-    custody.OwnershipCore._wins = (  # type: ignore[method-assign]
+    ownership_core.OwnershipCore._wins = (  # type: ignore[method-assign]
         lambda self, now, attempt: len(attempt.written) >= register.majority(len(attempt.replicas))
     )
 
 
-REAL, VIRTUAL = "tests/test_lab_members.py", "tests/test_members.py"
-KEPT, MODELLED = "tests/test_lab_ownership.py", "tests/test_ownership.py"
+LAB_MEMBERS, VIRTUAL_MEMBERS = "tests/test_lab_members.py", "tests/test_members.py"
+LAB_OWNERSHIP, MODEL_OWNERSHIP = "tests/test_lab_ownership.py", "tests/test_ownership.py"
 GUARDS: dict[str, tuple[Callable[[], None], list[str]]] = {
     "a process that slept credits the others with that time": (
-        no_pauses,
-        [f"{REAL}::test_all_paused_at_once", f"{VIRTUAL}::test_all_paused_at_once_accuse_nobody"],
+        without_pause_detection,
+        [
+            f"{LAB_MEMBERS}::test_all_paused_at_once",
+            f"{VIRTUAL_MEMBERS}::test_all_paused_at_once_accuse_nobody",
+        ],
     ),
     "who is reached over others is in": (
-        no_way_round,
+        direct_reach_only,
         [
-            f"{REAL}::test_two_are_cut_while_both_reach_a_third",
-            f"{REAL}::test_a_hears_b_but_b_not_a",
-            f"{REAL}::test_one_site_reaches_half_of_another",
+            f"{LAB_MEMBERS}::test_two_are_cut_while_both_reach_a_third",
+            f"{LAB_MEMBERS}::test_a_hears_b_but_b_not_a",
+            f"{LAB_MEMBERS}::test_one_site_reaches_half_of_another",
         ],
     ),
     "a member is out by its observers' word, not by one's": (
-        one_observer,
-        [f"{REAL}::test_a_third_lost_doubled_and_out_of_order", f"{REAL}::test_a_hears_b_but_b_not_a"],
+        removes_on_own_observation,
+        [
+            f"{LAB_MEMBERS}::test_a_third_lost_doubled_and_out_of_order",
+            f"{LAB_MEMBERS}::test_a_hears_b_but_b_not_a",
+        ],
     ),
     "who is held for dead and is not comes back by a new incarnation": (
-        no_objection,
+        without_refutation,
         [
-            f"{REAL}::test_a_pause_under_the_bound_and_one_over_it",
-            f"{REAL}::test_a_split_settles_on_both_sides_and_heals",
-            f"{REAL}::test_a_router_that_nobody_hears_is_out_learns_it_and_returns_once",
+            f"{LAB_MEMBERS}::test_a_pause_under_the_bound_and_one_over_it",
+            f"{LAB_MEMBERS}::test_a_split_settles_on_both_sides_and_heals",
+            f"{LAB_MEMBERS}::test_a_router_that_nobody_hears_is_out_learns_it_and_returns_once",
         ],
     ),
     "a starter asks which incarnations of its name were there": (
-        forgets_own_name,
+        forgets_own_incarnations,
         [
-            f"{REAL}::test_restarted_at_once_under_the_same_name",
-            f"{REAL}::test_a_killed_router_is_out_and_comes_back_as_a_higher_incarnation",
+            f"{LAB_MEMBERS}::test_restarted_at_once_under_the_same_name",
+            f"{LAB_MEMBERS}::test_a_killed_router_is_out_and_comes_back_as_a_higher_incarnation",
         ],
     ),
-    "no number of a run counts twice": (no_window, [f"{REAL}::test_forged_and_replayed_datagrams"]),
-    "what is not signed with the key is refused": (any_key, [f"{REAL}::test_forged_and_replayed_datagrams"]),
+    "no number of a run counts twice": (
+        without_replay_window,
+        [f"{LAB_MEMBERS}::test_forged_and_replayed_datagrams"],
+    ),
+    "what is not signed with the key is refused": (
+        without_signature_check,
+        [f"{LAB_MEMBERS}::test_forged_and_replayed_datagrams"],
+    ),
     "the word of one that hears nobody is not taken": (
-        any_word,
-        [f"{VIRTUAL}::test_a_member_that_hears_nobody_or_that_nobody_hears_is_out_once_and_learns_it"],
+        accepts_isolated_senders,
+        [
+            f"{VIRTUAL_MEMBERS}::test_a_member_that_hears_nobody_or_that_nobody_hears_is_out_once_and_learns_it"
+        ],
+    ),
+    "a planned end is told": (
+        without_leave_message,
+        [f"{LAB_MEMBERS}::test_a_rolling_end_of_all_accuses_nobody"],
     ),
-    "a planned end is told": (no_farewell, [f"{REAL}::test_a_rolling_end_of_all_accuses_nobody"]),
     "those who are out, and the seeds, are asked again and again": (
-        no_hello,
+        without_rediscovery,
         [
-            f"{REAL}::test_a_split_settles_on_both_sides_and_heals",
-            f"{REAL}::test_a_joiner_whose_seeds_are_all_down",
+            f"{LAB_MEMBERS}::test_a_split_settles_on_both_sides_and_heals",
+            f"{LAB_MEMBERS}::test_a_joiner_whose_seeds_are_all_down",
         ],
     ),
-    "two routers of one name tell each other apart": (no_twins, [f"{REAL}::test_two_routers_of_one_name"]),
+    "two routers of one name tell each other apart": (
+        without_name_conflicts,
+        [f"{LAB_MEMBERS}::test_two_routers_of_one_name"],
+    ),
     "the word of one that is not reached counts for nothing": (
-        last_words,
-        [f"{REAL}::test_half_of_the_members_killed_within_100_ms"],
+        counts_unreachable_members,
+        [f"{LAB_MEMBERS}::test_half_of_the_members_killed_within_100_ms"],
     ),
     "an address that refuses is evidence": (
-        no_refusals,
+        ignores_refused_connections,
         [
-            f"{REAL}::test_half_of_the_members_killed_within_100_ms",
-            f"{VIRTUAL}::test_half_of_the_members_killed_at_once",
-            f"{VIRTUAL}::test_a_killed_member_is_out_everywhere_within_two_seconds",
+            f"{LAB_MEMBERS}::test_half_of_the_members_killed_within_100_ms",
+            f"{VIRTUAL_MEMBERS}::test_half_of_the_members_killed_at_once",
+            f"{VIRTUAL_MEMBERS}::test_a_killed_member_is_out_everywhere_within_two_seconds",
         ],
     ),
 }
-CUSTODY: dict[str, tuple[Callable[[], None], list[str]]] = {
+OWNERSHIP: dict[str, tuple[Callable[[], None], list[str]]] = {
     "a paid intent is never sent by a successor": (
-        resends,
-        [f"{KEPT}::test_killed_between_the_send_and_the_answer_a_paid_play_has_failed_for_good"],
+        resends_paid_requests,
+        [f"{LAB_OWNERSHIP}::test_killed_between_the_send_and_the_answer_a_paid_play_has_failed_for_good"],
     ),
     "a keeper denies others while the owner's lease runs": (
-        no_leases,
-        [f"{KEPT}::test_two_fetches_at_two_routers_at_once_are_one_set_up"],
+        without_leases,
+        [f"{LAB_OWNERSHIP}::test_two_fetches_at_two_routers_at_once_are_one_set_up"],
     ),
     "an owner without a lease sends nothing": (
-        sends_unleased,
-        [f"{MODELLED}::test_a_set_up_about_to_leave_stays_after_a_pause_and_is_known_to_be_lost"],
+        sends_without_lease,
+        [f"{MODEL_OWNERSHIP}::test_a_set_up_about_to_leave_stays_after_a_pause_and_is_known_to_be_lost"],
     ),
     "a keeper tells an owner that another has come": (
-        no_generations,
-        [f"{MODELLED}::test_an_owner_that_slept_knows_what_was_taken_from_it"],
+        without_fencing,
+        [f"{MODEL_OWNERSHIP}::test_an_owner_that_slept_knows_what_was_taken_from_it"],
     ),
     "no release before it is certain": (
         releases_at_once,
-        [f"{KEPT}::test_a_viewer_s_end_that_waited_in_a_paused_router_ends_no_successor_s_session"],
+        [f"{LAB_OWNERSHIP}::test_a_viewer_s_end_that_waited_in_a_paused_router_ends_no_successor_s_session"],
     ),
     "a restarted router is another run": (
-        names_for_runs,
-        [f"{MODELLED}::test_all_but_one_restart_and_what_they_kept_is_unknown"],
+        identifies_members_by_name,
+        [f"{MODEL_OWNERSHIP}::test_all_but_one_restart_and_what_they_kept_is_unknown"],
     ),
     "what most keepers of a record took with them is unknown": (
-        no_holes,
-        [f"{MODELLED}::test_all_but_one_restart_and_what_they_kept_is_unknown"],
+        without_loss_detection,
+        [f"{MODEL_OWNERSHIP}::test_all_but_one_restart_and_what_they_kept_is_unknown"],
     ),
     "a claim counts once all keepers have taken it": (
-        claims_of_most,
-        [f"{MODELLED}::test_a_claim_that_one_keeper_took_hides_nothing_that_most_hold"],
+        accepts_majority_claims,
+        [f"{MODEL_OWNERSHIP}::test_a_claim_that_one_keeper_took_hides_nothing_that_most_hold"],
     ),
 }
 GROUPS = {
     "members": dict(GUARDS),
-    "custody": CUSTODY,
+    "custody": OWNERSHIP,
     "operation": operations_guards.GUARDS,
     "store": store_guards.GUARDS,
 }
-GUARDS |= CUSTODY | operations_guards.GUARDS | store_guards.GUARDS
+GUARDS |= OWNERSHIP | operations_guards.GUARDS | store_guards.GUARDS
 
 
-def out() -> None:
+def remove_named_guard() -> None:
     """Takes out the guard that the environment names, if it names one."""
-    if name := os.environ.get(VARIABLE):
+    if name := os.environ.get(GUARD_VARIABLE):
         GUARDS[name][0]()
 
 
-def program() -> list[str]:
+def router_command() -> list[str]:
     """What Python is started with: the program, or the program without that guard."""
-    if VARIABLE not in os.environ:
+    if GUARD_VARIABLE not in os.environ:
         return ["-m", "cloverhinge"]
     return [
         "-c",
-        "import sys; from tests.guards import out; out(); from cloverhinge.cli import main; "
-        "sys.exit(main(sys.argv[1:]))",
+        "import sys; from tests.guards import remove_named_guard; remove_named_guard(); "
+        "from cloverhinge.cli import main; sys.exit(main(sys.argv[1:]))",
     ]
 
 
-LIMIT_S = 120.0  # for one test without its guard; each has limits of its own, 20 s mostly
+TEST_TIMEOUT_S = 120.0  # for one test without its guard; each has limits of its own, 20 s mostly
 
 
 def main() -> int:
-    from benchmarks.tables import keep
+    from benchmarks.tables import write_results
 
     rows: list[dict[str, object]] = []
     group = next((x for x in sys.argv[1:] if x in GROUPS), "members")
@@ -290,13 +310,13 @@
                 [sys.executable, "-m", "pytest", "-n", "0", test],
                 capture_output=True,
                 text=True,
-                env={**os.environ, VARIABLE: name},
-                timeout=LIMIT_S,
+                env={**os.environ, GUARD_VARIABLE: name},
+                timeout=TEST_TIMEOUT_S,
             )
             seen = "fails" if done.returncode == 1 else f"PASSES ({done.returncode})"
             rows.append({"taken out": name, "test": test.partition("::")[2], "without it": seen})
             print(rows[-1], flush=True)
-    keep(
+    write_results(
         f"{group}_guards",
         f"{'Membership' if group == 'members' else group.capitalize()}: " "each test without its guard",
         [("`fails` is what is wanted: the same test passes with the guard in.", rows)],
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -17,11 +17,11 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-LIST = ROOT / "KNOWN-RED.txt"
-MOST = 3  # the operators' limit; a fourth fails CI
+LIST_PATH = ROOT / "KNOWN-RED.txt"
+MAX_KNOWN_RED = 3  # the operators' limit; a fourth fails CI
 
 
-class BadList(Exception):
+class InvalidListError(Exception):
     """One sentence on what is wrong with the list."""
 
 
@@ -42,21 +42,21 @@
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
-            raise BadList(f"{line!r} is not of the form test | cause | issue")
+            raise InvalidListError(f"{line!r} is not of the form test | cause | issue")
         found.append(KnownRed(*parts))
-    if len(found) > MOST:
-        raise BadList(f"{len(found)} tests are listed, and {MOST} are the most")
+    if len(found) > MAX_KNOWN_RED:
+        raise InvalidListError(f"{len(found)} tests are listed, and {MAX_KNOWN_RED} are the most")
     if len({one.test for one in found}) < len(found):
-        raise BadList("a test is listed twice")
+        raise InvalidListError("a test is listed twice")
     return found
 
 
-def listed(path: Path = LIST) -> list[KnownRed]:
+def read_list(path: Path = LIST_PATH) -> list[KnownRed]:
     """The list at a path; none where there is no file."""
     return parse(path.read_text()) if path.exists() else []
 
 
-def missing(known: Iterable[KnownRed], collected: Iterable[str]) -> list[str]:
+def missing_tests(known: Iterable[KnownRed], collected: Iterable[str]) -> list[str]:
     """Listed tests that do not exist."""
     names = set(collected)
     return [one.test for one in known if one.test not in names]
@@ -86,10 +86,10 @@
 def main() -> int:
     """Exit status 1 where the list is wrong."""
     try:
-        known = listed()
-        if known and (gone := missing(known, collect())):
-            raise BadList(f"these listed tests do not exist: {', '.join(gone)}")
-    except BadList as error:
+        known = read_list()
+        if known and (gone := missing_tests(known, collect())):
+            raise InvalidListError(f"these listed tests do not exist: {', '.join(gone)}")
+    except InvalidListError as error:
         print(f"KNOWN-RED.txt: {error}")
         return 1
     print(f"known to fail: {len(known)}")
--- a/tests/store_guards.py
+++ b/tests/store_guards.py
@@ -13,19 +13,19 @@
 from cloverhinge.store.folder import Folder
 
 
-def speaks_first() -> None:
+def answers_before_commit() -> None:
     persistence.BINDING = ()  # type: ignore[assignment]
 
 
-def believes_itself() -> None:
+def trusts_own_folder() -> None:
     proof.Judge.missing_answers = property(lambda self: 0)  # type: ignore[assignment,method-assign]
 
 
-def believes_any() -> None:
+def accepts_any_claim() -> None:
     proof.Witness.allows = lambda self, name, claim: True  # type: ignore[method-assign]
 
 
-def forgets_runs() -> None:
+def forgets_earlier_runs() -> None:
     of = ReplicaPersistence.from_folder.__func__  # type: ignore[attr-defined]
 
     def alone(
@@ -36,12 +36,12 @@
     ReplicaPersistence.from_folder = classmethod(alone)  # type: ignore[assignment,method-assign]
 
 
-def no_sum() -> None:
+def without_checksums() -> None:
     form.total_checksum = lambda checksums: 0
-    form.apply_changes = _unsummed(form.apply_changes)
+    form.apply_changes = _with_zero_checksum(form.apply_changes)
 
 
-def _unsummed(changed: Callable[..., Any]) -> Callable[..., Any]:
+def _with_zero_checksum(changed: Callable[..., Any]) -> Callable[..., Any]:
     import msgspec
 
     def call(head: Any, held: Any, rows: Any) -> Any:
@@ -51,11 +51,11 @@
     return call
 
 
-def any_owner() -> None:
+def without_owner_check() -> None:
     Folder._check_head = lambda self, head: head  # type: ignore[method-assign]
 
 
-def any_file() -> None:
+def without_file_identity() -> None:
     commit = Folder._commit
 
     def blind(self: Folder, rows: Any, above: Any) -> Any:
@@ -71,7 +71,7 @@
     Folder._commit = blind  # type: ignore[method-assign]
 
 
-def no_leases() -> None:
+def without_stored_leases() -> None:
     load = Replica.load
 
     def bare(self: Replica, now: float, slots: Any) -> None:
@@ -81,47 +81,54 @@
     Replica.load = bare  # type: ignore[method-assign]
 
 
-REAL, PARTS, MODELLED = "tests/test_lab_store.py", "tests/test_store.py", "tests/test_ownership.py"
+LAB_STORE, STORE, MODEL_OWNERSHIP = (
+    "tests/test_lab_store.py",
+    "tests/test_store.py",
+    "tests/test_ownership.py",
+)
 GUARDS: dict[str, tuple[Callable[[], None], list[str]]] = {
     "nothing binding is said before it is on the disk": (
-        speaks_first,
-        [f"{MODELLED}::test_what_was_not_safe_was_not_said"],
+        answers_before_commit,
+        [f"{MODEL_OWNERSHIP}::test_what_was_not_safe_was_not_said"],
     ),
     "a folder is whole by the word of most of its roster": (
-        believes_itself,
+        trusts_own_folder,
         [
-            f"{PARTS}::test_a_store_is_whole_only_by_most_of_its_roster_and_behind_by_any",
-            f"{REAL}::test_one_empty_one_old_and_one_cloned_folder_are_told_from_whole_ones",
+            f"{STORE}::test_a_store_is_whole_only_by_most_of_its_roster_and_behind_by_any",
+            f"{LAB_STORE}::test_one_empty_one_old_and_one_cloned_folder_are_told_from_whole_ones",
         ],
     ),
     "who has heard a later mark says so": (
-        believes_any,
+        accepts_any_claim,
         [
-            f"{PARTS}::test_a_witness_allows_a_claim_only_where_nothing_later_was_heard",
-            f"{REAL}::test_one_empty_one_old_and_one_cloned_folder_are_told_from_whole_ones",
+            f"{STORE}::test_a_witness_allows_a_claim_only_where_nothing_later_was_heard",
+            f"{LAB_STORE}::test_one_empty_one_old_and_one_cloned_folder_are_told_from_whole_ones",
         ],
     ),
     "a restarted router speaks for the runs that wrote its folder": (
-        forgets_runs,
+        forgets_earlier_runs,
         [
-            f"{REAL}::test_all_killed_at_once_and_every_paid_play_goes_on",
-            f"{REAL}::test_killed_again_in_the_middle_of_the_return",
+            f"{LAB_STORE}::test_all_killed_at_once_and_every_paid_play_goes_on",
+            f"{LAB_STORE}::test_killed_again_in_the_middle_of_the_return",
         ],
     ),
-    "a damaged row is found": (no_sum, [f"{PARTS}::test_a_flipped_bit_anywhere_is_never_believed"]),
+    "a damaged row is found": (
+        without_checksums,
+        [f"{STORE}::test_a_flipped_bit_anywhere_is_never_believed"],
+    ),
     "a folder is its owner's": (
-        any_owner,
+        without_owner_check,
         [
-            f"{PARTS}::test_one_process_one_owner_one_version",
-            f"{REAL}::test_one_empty_one_old_and_one_cloned_folder_are_told_from_whole_ones",
+            f"{STORE}::test_one_process_one_owner_one_version",
+            f"{LAB_STORE}::test_one_empty_one_old_and_one_cloned_folder_are_told_from_whole_ones",
         ],
     ),
     "a commit goes to the file that was opened": (
-        any_file,
-        [f"{PARTS}::test_a_vanished_folder_ends_the_keeping"],
+        without_file_identity,
+        [f"{STORE}::test_a_vanished_folder_ends_the_keeping"],
     ),
     "leases granted before a restart may run still": (
-        no_leases,
-        [f"{MODELLED}::test_a_keeper_that_comes_back_at_once_honours_the_lease_it_had_granted"],
+        without_stored_leases,
+        [f"{MODEL_OWNERSHIP}::test_a_keeper_that_comes_back_at_once_honours_the_lease_it_had_granted"],
     ),
 }
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -33,7 +33,7 @@
     sessions_per_server: int = 25,
     **more: Any,
 ) -> tuple[World, AdmissionGateway]:
-    simulation = World(settings(boxes, sessions_per_server, **more), list(crowds), boxes=boxes)
+    simulation = World(settings(boxes, sessions_per_server, **more), list(crowds), servers=boxes)
     named = zip((MAPLE, BIRCH, ALDER), weights, strict=True)
     clients = [replace(one, weight=weight) for one, weight in named]
     site = DoorSite(b"k" * 32, 512, 2048, 60_000.0, (*clients, ClientSite("others")))
@@ -53,7 +53,7 @@
     small, large = crowd("maple", 3.0), crowd("birch", 50.0)  # capacity for 10 a second
     simulation, gateway = world(small, large)
     simulation.run(60_000.0)
-    assert small.tally.served >= 0.97 * small.tally.came
+    assert small.tally.served >= 0.97 * small.tally.arrived
     assert rows(gateway)["birch"]["kept"] > 50
     assert rows(gateway)["birch"]["broken"] <= 0.05 * rows(gateway)["birch"]["kept"]
     assert rows(gateway)["birch"]["near"] >= 0.9 * rows(gateway)["birch"]["kept"]
@@ -73,7 +73,7 @@
 
 def test_fake_clients_get_no_more_than_one_client_s_share() -> None:
     """A flood with invented names and addresses shares the share of `others`; memory stays bounded."""
-    real, fakes = crowd("maple", 8.0), crowd("others", 300.0, peers=250, returning=0.0)
+    real, fakes = crowd("maple", 8.0), crowd("others", 300.0, addresses=250, return_share=0.0)
     simulation, gateway = world(real, fakes)
     simulation.run(15_000.0)  # the fakes take all places at first; no session is cut for later requests
     served = real.tally.served
@@ -124,7 +124,7 @@
 
 
 def test_checks_go_before_practice_without_starving_it() -> None:
-    checks, practice = crowd("maple", 25.0, checks=1.0), crowd("maple", 5.0)
+    checks, practice = crowd("maple", 25.0, check_share=1.0), crowd("maple", 5.0)
     simulation, _ = world(checks, practice)
     simulation.run(60_000.0)
     assert checks.tally.served > 2 * practice.tally.served > 40
@@ -143,7 +143,7 @@
         monkeypatch.setattr(request.client, "refused", lambda *_, n=request.handle: refusals.update([n]))
     gateway.close()
     assert not gateway.queue.waiting and sorted(refusals.values()) == [1] * len(waiting)
-    simulation.crowds[0].returning = simulation.crowds[1].returning = 0.0
+    simulation.crowds[0].return_share = simulation.crowds[1].return_share = 0.0
     before = simulation.router.counters.attempts
     simulation.run(500.0)
     assert simulation.router.counters.attempts == before, "no request is admitted any more"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.known_red import ROOT, BadList, KnownRed, missing, parse
+from tests.known_red import ROOT, InvalidListError, KnownRed, missing_tests, parse
 
 LINE = "test_some.py::test_one | a cause | 33"
 
@@ -28,12 +28,12 @@
     ],
 )
 def test_a_bad_or_long_list_is_refused(text: str) -> None:
-    with pytest.raises(BadList):
+    with pytest.raises(InvalidListError):
         parse(text)
 
 
 def test_a_listed_test_that_does_not_exist_is_named() -> None:
-    assert missing(parse(LINE), ["test_some.py::test_two"]) == ["test_some.py::test_one"]
+    assert missing_tests(parse(LINE), ["test_some.py::test_two"]) == ["test_some.py::test_one"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lab_members.py
+++ b/tests/test_lab_members.py
@@ -28,7 +28,7 @@
 
 @contextmanager
 def five(folder: Path, count: int = 5, **more: Any) -> Iterator[Rig]:
-    with rig(folder, count, program=guards.program(), **more) as made:
+    with rig(folder, count, program=guards.router_command(), **more) as made:
         yield made
         assert not checks.all_of(made.record, BOUND_MS), made.record.tail()
 
@@ -200,7 +200,7 @@
 
 
 def test_a_joiner_whose_seeds_are_all_down(tmp_path: Path) -> None:
-    made = Rig(tmp_path, 5, program=guards.program())
+    made = Rig(tmp_path, 5, program=guards.router_command())
     try:
         made[4].start()
         made[4].until_started()
@@ -249,7 +249,7 @@
         text = (made[4].folder / "config.json").read_text().replace('"name": "r4"', '"name": "r1"')
         (made[4].folder / "config.json").write_text(text)
         duplicate = subprocess.Popen(
-            [sys.executable, *guards.program(), "serve", "--site", str(made[4].folder / "site.toml")],
+            [sys.executable, *guards.router_command(), "serve", "--site", str(made[4].folder / "site.toml")],
             cwd=ROOT,
             stderr=subprocess.PIPE,
             text=True,
--- a/tests/test_lab_ownership.py
+++ b/tests/test_lab_ownership.py
@@ -26,7 +26,7 @@
 
 @contextmanager
 def replicating_rig(folder: Path, count: int = 5, titles: int = 20) -> Iterator[Rig]:
-    with viewers.keeping(folder, count, titles, idle_s=120.0, program=guards.program()) as made:
+    with viewers.keeping(folder, count, titles, idle_s=120.0, program=guards.router_command()) as made:
         yield made
         repeated = {title: n for title, n in set_ups(made.record).items() if n > 1}
         assert not repeated, (repeated, made.record.tail())
@@ -302,7 +302,7 @@
         3,
         pumps=[Pump("s-00000000", 0)],
         tables=tables,
-        program=guards.program(),
+        program=guards.router_command(),
         gated=False,
         specifics=settings,
     ) as made:
--- a/tests/test_lab_store.py
+++ b/tests/test_lab_store.py
@@ -23,7 +23,9 @@
 @contextmanager
 def rig_with_stores(path: Path, count: int = 5, titles: int = 20) -> Iterator[Rig]:
     """Routers with stores; at the end, no paid play may have been set up twice."""
-    with viewers.keeping(path, count, titles, idle_s=120.0, program=guards.program(), stores=True) as made:
+    with viewers.keeping(
+        path, count, titles, idle_s=120.0, program=guards.router_command(), stores=True
+    ) as made:
         yield made
         repeated = {title: n for title, n in set_ups(made.record).items() if n > 1}
         assert not repeated, (repeated, made.record.tail(100))
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -165,7 +165,7 @@
 
 def test_a_pump_that_takes_no_more_connections_keeps_its_sessions_for_a_while(tmp_path: Path) -> None:
     """Guards what a new version is handed: it has no line to a pump yet, and one that is full refuses too."""
-    with site(tmp_path, 1, program=guards.program()) as (program, pumps, _):
+    with site(tmp_path, 1, program=guards.router_command()) as (program, pumps, _):
         port = pumps[0].socket.getsockname()[1]
         pumps[0].stop()
         viewer = program.connect()
--- a/tests/test_operations_network.py
+++ b/tests/test_operations_network.py
@@ -20,7 +20,7 @@
 from cloverhinge.operations import console
 from tests import guards
 
-site = partial(harness.site, program=guards.program())
+site = partial(harness.site, program=guards.router_command())
 FIGURES = {"ok", "shed", "errors", "tries"}
 
 
