--- a/example/toy.py
+++ b/example/toy.py
@@ -1,9 +1,10 @@
-"""Toy media boxes and a toy change log, with which to try cloverhinge.
+"""Toy media servers and a toy change log, for trying out cloverhinge.
 
     python example/toy.py [FIRST_PORT]
 
-Opens, from FIRST_PORT on (7100; 0 = any free ports): the change log, then for each of two boxes its RTSP side
-and its HTTP side.  Every session that is set up stands until it is released.  The `video` is made of noise.
+Listens on consecutive ports from FIRST_PORT (default 7100; 0 picks free ports): first the change log, then
+RTSP and HTTP of each of two media servers.  Every session that is set up lasts until it is released.  The
+segments hold placeholder bytes, no real video.
 """
 
 from __future__ import annotations
@@ -26,7 +27,10 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[list[str], Headers, bytes]:
-    """A message of RTSP or HTTP: its first line's words, its fields and its body."""
+    """Reads an RTSP or HTTP message: words of the first line, headers (lower-case names) and body.
+
+    Raises EOFError if the peer has closed the connection.
+    """
     first = (await reader.readline()).decode().split()
     if not first:
         raise EOFError
@@ -38,15 +42,17 @@
 
 
 class MediaServer:
-    """Speaks RTSP as a pump does, and HTTP as the HLS front expects it of a media box."""
+    """Speaks RTSP as a media server does, and HTTP as the HLS front expects it of one."""
 
     def __init__(self, name: str) -> None:
         self.name, self.sessions = name, set[str]()
 
     def log(self, text: str) -> None:
+        """Prints an event with the present number of sessions."""
         print(f"{self.name}: {text}, {len(self.sessions)} sessions", flush=True)
 
     async def rtsp(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves an RTSP connection of a router until it closes."""
         with suppress(EOFError, ConnectionError, asyncio.IncompleteReadError):
             while True:
                 words, headers, _ = await read_message(reader)
@@ -64,7 +70,7 @@
                     load = len(self.sessions) / 20
                     fields = f"X-Circuits: x0:{load:.3f};x1:{load / 2:.3f}\r\n"
                 else:
-                    continue  # a new rung wants no answer
+                    continue  # a change of the rung is not answered
                 writer.write(
                     f"RTSP/1.0 200 OK\r\nCSeq: {headers.get('cseq', '0')}\r\nSession: {session}\r\n"
                     f"{fields}Content-Length: {len(body)}\r\n\r\n".encode()
@@ -73,15 +79,17 @@
         writer.close()
 
     async def http(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves an HTTP connection of a router or a player until it closes."""
         with suppress(EOFError, ConnectionError, asyncio.IncompleteReadError):
             while True:
                 words, _, body = await read_message(reader)
-                status, answer = self.respond(words[0], words[1].strip("/").split("/"), body)
-                head = f"HTTP/1.1 {status} Toy\r\nContent-Length: {len(answer)}\r\n\r\n"
-                writer.write(head.encode() + answer)
+                status, content = self.respond(words[0], words[1].strip("/").split("/"), body)
+                head = f"HTTP/1.1 {status} Toy\r\nContent-Length: {len(content)}\r\n\r\n"
+                writer.write(head.encode() + content)
         writer.close()
 
     def respond(self, method: str, path: list[str], body: bytes) -> tuple[int, bytes]:
+        """Returns the status and body of the answer to an HTTP request."""
         if len(path) < 2 or path[0] != "sessions":
             return 404, b""
         session = path[1].split("?")[0]
@@ -101,29 +109,32 @@
 
 
 async def changelog(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, event: bytes) -> None:
+    """Serves a subscriber of the change log: the single event if it lacks it, then heartbeats."""
     with suppress(ConnectionError, ValueError, IndexError):
         if int((await reader.readline()).split()[1]) < 1:
             writer.write(event + b"\n")
         while not writer.is_closing():
             writer.write(b"1\n")
-            await asyncio.sleep(1.0)  # the heartbeat's pace
+            await asyncio.sleep(1.0)  # heartbeat period
     writer.close()
 
 
 async def main(first: int) -> None:
+    """Starts the media servers and the change log, prints their addresses as JSON and serves forever."""
+
     async def listen(serve: object, offset: int) -> str:
         server = await asyncio.start_server(serve, "127.0.0.1", first and first + offset)  # type: ignore[arg-type]
         return "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
 
-    rows, places = [], {}
+    instances, addresses = [], {}
     for number in range(2):
-        box = MediaServer(f"toy-{number + 1}")
-        where = await listen(box.rtsp, 1 + 2 * number)
-        places[box.name] = {"rtsp": where, "http": await listen(box.http, 2 + 2 * number)}
-        rows.append(
+        server = MediaServer(f"toy-{number + 1}")
+        rtsp_address = await listen(server.rtsp, 1 + 2 * number)
+        addresses[server.name] = {"rtsp": rtsp_address, "http": await listen(server.http, 2 + 2 * number)}
+        instances.append(
             {
-                "instanceId": box.name,
-                "hostPort": where,
+                "instanceId": server.name,
+                "hostPort": rtsp_address,
                 "zone": "room",
                 "machineType": "toy",
                 "cell": number,
@@ -132,10 +143,10 @@
                 "startedAtMs": 0,
             }
         )
-    event = {"seq": 1, "fleet": {"generation": 1, "reset": True, "instances": rows}}
+    event = {"seq": 1, "fleet": {"generation": 1, "reset": True, "instances": instances}}
     line = json.dumps(event).encode()
-    log = await listen(lambda r, w: changelog(r, w, line), 0)
-    print(json.dumps({"changelog": log, "boxes": places}), flush=True)
+    log_address = await listen(lambda r, w: changelog(r, w, line), 0)
+    print(json.dumps({"changelog": log_address, "boxes": addresses}), flush=True)
     await asyncio.Event().wait()
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""For `python -m tests.guards`: the guard that is taken out is so in this process too.
+"""Disables the check that LAB_GUARD_OUT names in the process of the tests too (`tests.guards`).
 
-Tests that KNOWN-RED.txt lists may fail (`tests.known_red`).
+Tests that KNOWN-RED.txt lists are expected to fail (`tests.known_red`).
 """
 
 import pytest
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -1,6 +1,9 @@
-"""Takes one guard out, to see that its test fails: `python -m tests.guards [custody|operation|store]`.
+"""Disables one safety check at a time and verifies that its tests then fail.
 
-No part of CI.  LAB_GUARD_OUT names the guard, in the tests' process and in the routers that they start.
+    python -m tests.guards [custody|operation|store]
+
+This is not part of CI.  LAB_GUARD_OUT names the disabled check, both in the process of the tests and in the
+routers that they start.  Each function here disables one check by patching the program in memory.
 """
 
 from __future__ import annotations
@@ -21,13 +24,17 @@
 
 
 def without_pause_detection() -> None:
-    def wake(self: core.Membership, now: float) -> None:
+    """A process that was paused does not notice it."""
+
+    def only_record_time(self: core.Membership, now: float) -> None:
         self._last_ms = now
 
-    core.Membership._detect_pause = wake  # type: ignore[method-assign]
+    core.Membership._detect_pause = only_record_time  # type: ignore[method-assign]
 
 
 def direct_reach_only() -> None:
+    """Members that are reached only through other members count as unreachable."""
+
     def direct(own: str, reachable: Any, records: Any, names: Any) -> set[str]:
         return {own, *reachable} & {own, *names}
 
@@ -35,108 +42,128 @@
 
 
 def counts_unreachable_members() -> None:
-    def believing(own: str, reachable: Any, records: Any, names: Any) -> set[str]:
+    """Reports of members that are themselves unreachable count as well."""
+
+    def reported_by_any(own: str, reachable: Any, records: Any, names: Any) -> set[str]:
         known = set(names)
         return {own, *reachable, *(x for name in known for x in records[name].reachable)} & {own, *known}
 
-    core.reachable_from = believing  # type: ignore[attr-defined]
+    core.reachable_from = reported_by_any  # type: ignore[attr-defined]
 
 
 def without_refutation() -> None:
+    """A member that is wrongly reported dead does not return under a new incarnation."""
     core.Membership._refute = lambda self, now, claim: None  # type: ignore[method-assign]
 
 
 def without_replay_window() -> None:
+    """Repeated message numbers of a run are accepted."""
     wire.ReplayWindow.accept = lambda self, number: True  # type: ignore[method-assign]
 
 
 def without_signature_check() -> None:
+    """Messages are accepted without a valid signature."""
     wire.Authenticator.verify = lambda self, signed_message: signed_message[wire.HEADER_BYTES :]  # type: ignore[method-assign]
 
 
 def accepts_isolated_senders() -> None:
+    """Records are accepted from a member that reaches nobody."""
     core.Membership._merge = (  # type: ignore[method-assign]
         lambda self, now, message: self._apply_all(now, message.records)
     )
 
 
 def without_leave_message() -> None:
+    """A planned shutdown is not announced."""
     core.Membership.leave = lambda self, now: []  # type: ignore[method-assign]
 
 
 def without_rediscovery() -> None:
-    hello = core.Membership._discover
+    """Removed members and seeds are contacted only until the router has joined."""
+    discover = core.Membership._discover
 
-    def only_joining(self: core.Membership) -> None:
+    def only_while_joining(self: core.Membership) -> None:
         if not self.joined:
-            hello(self)
+            discover(self)
 
-    core.Membership._discover = only_joining  # type: ignore[method-assign]
+    core.Membership._discover = only_while_joining  # type: ignore[method-assign]
 
 
 def without_name_conflicts() -> None:
+    """Two routers of the same name are not told apart."""
     core.Membership._resolve_name_conflict = lambda self, now, run, source: None  # type: ignore[method-assign]
 
 
 def ignores_refused_connections() -> None:
+    """A refused connection does not count as evidence of a failure."""
     watch.PeerMonitor.refusing = property(lambda self: False)  # type: ignore[assignment, method-assign]
 
 
 def removes_on_own_observation() -> None:
-    verdict = core.Membership._death_reason
+    """A router removes a member that it does not reach itself, whatever others report."""
+    death_reason = core.Membership._death_reason
 
-    def hasty(self: core.Membership, now: float, name: str, info: Any, observers: frozenset[str]) -> str:
+    def from_own_observation(
+        self: core.Membership, now: float, name: str, info: Any, observers: frozenset[str]
+    ) -> str:
         if name in self.monitors and name not in self.own_record.reachable:
-            return "I do not hear it"
-        return verdict(self, now, name, info, observers)
+            return "not reached from here"
+        return death_reason(self, now, name, info, observers)
 
-    core.Membership._death_reason = hasty  # type: ignore[method-assign]
+    core.Membership._death_reason = from_own_observation  # type: ignore[method-assign]
     direct_reach_only()
 
 
 def forgets_own_incarnations() -> None:
+    """A router that starts does not learn which incarnations of its name existed before."""
     core.Membership._handle_discover_reply = _without_own_incarnations(core.Membership._handle_discover_reply)  # type: ignore[method-assign]
     without_refutation()
 
 
-def _without_own_incarnations(welcome: Any) -> Any:
-    def told(self: core.Membership, now: float, message: wire.DiscoverReply) -> None:
+def _without_own_incarnations(handle_reply: Any) -> Any:
+    def handle_stripped(self: core.Membership, now: float, message: wire.DiscoverReply) -> None:
         message.about_receiver = None
-        welcome(self, now, message)
+        handle_reply(self, now, message)
 
-    return told
+    return handle_stripped
 
 
 def resends_paid_requests() -> None:
-    taken_over = register.value_after_takeover
+    """A successor sends a paid request again that its former owner may have sent already."""
+    value_after_takeover = register.value_after_takeover
 
-    def again(found: Any, asker: str, intent: Any) -> Any:
+    def resent(found: Any, asker: str, intent: Any) -> Any:
         if found is not None and found.paid and found.phase is register.Phase.INTENT:
             return register.with_next_owner(found, asker)
-        return taken_over(found, asker, intent)
+        return value_after_takeover(found, asker, intent)
 
-    register.value_after_takeover = again
+    register.value_after_takeover = resent
 
 
 def without_leases() -> None:
+    """Replicas grant a record to others while the owner's lease still runs."""
     replica.Replica.lease_left_ms = lambda self, owner, now: 0.0  # type: ignore[method-assign]
 
 
 def sends_without_lease() -> None:
+    """An owner sends without holding a lease."""
     ownership_core.OwnershipCore.may_act = lambda self, id, now: id in self.owned  # type: ignore[method-assign]
 
 
 def without_fencing() -> None:
+    """A replica does not tell the former owner that a record has a new one."""
     replica.Replica._fence = lambda self, owner: None  # type: ignore[method-assign]
 
 
 def releases_at_once() -> None:
+    """A session is released before it is certain that this router still owns it."""
     component.OwnershipComponent.release = (  # type: ignore[method-assign]
         lambda self, request, cause: request.servers.release(request, cause)
     )
 
 
 def identifies_members_by_name() -> None:
+    """A restarted router counts as the same run as before."""
     member: Any = ownership_wire.Member
     member.member_id = property(lambda self: self.name)
     member.__eq__ = lambda self, other: self.name == other.name
@@ -144,11 +171,12 @@
 
 
 def without_loss_detection() -> None:
+    """Records whose replicas were mostly lost count as never written."""
     placement.may_be_lost = lambda *_: False
 
 
 def accepts_majority_claims() -> None:
-    """A claim counts once most keepers have taken it, as a write after a question does."""
+    """A claim succeeds once a majority of replicas has accepted it, as a write after a read does."""
     ownership_core.OwnershipCore._wins = (  # type: ignore[method-assign]
         lambda self, now, attempt: len(attempt.written) >= register.majority(len(attempt.replicas))
     )
@@ -280,13 +308,13 @@
 
 
 def remove_named_guard() -> None:
-    """Takes out the guard that the environment names, if it names one."""
+    """Disables the check that LAB_GUARD_OUT names, if it is set; raises KeyError for an unknown name."""
     if name := os.environ.get(GUARD_VARIABLE):
         GUARDS[name][0]()
 
 
 def router_command() -> list[str]:
-    """What Python is started with: the program, or the program without that guard."""
+    """Arguments that start a router in Python, with the check disabled that LAB_GUARD_OUT names, if set."""
     if GUARD_VARIABLE not in os.environ:
         return ["-m", "cloverhinge"]
     return [
@@ -296,25 +324,26 @@
     ]
 
 
-TEST_TIMEOUT_S = 120.0  # for one test without its guard; each has limits of its own, 20 s mostly
+TEST_TIMEOUT_S = 120.0  # for one test with its check disabled; most tests have a limit of 20 s themselves
 
 
 def main() -> int:
+    """Runs the tests of a group of checks, each with its check disabled; exit status 1 if one passes."""
     from benchmarks.tables import write_results
 
     rows: list[dict[str, object]] = []
     group = next((x for x in sys.argv[1:] if x in GROUPS), "members")
     for name, (_, tests) in GROUPS[group].items():
         for test in tests:
-            done = subprocess.run(
+            result = subprocess.run(
                 [sys.executable, "-m", "pytest", "-n", "0", test],
                 capture_output=True,
                 text=True,
                 env={**os.environ, GUARD_VARIABLE: name},
                 timeout=TEST_TIMEOUT_S,
             )
-            seen = "fails" if done.returncode == 1 else f"PASSES ({done.returncode})"
-            rows.append({"taken out": name, "test": test.partition("::")[2], "without it": seen})
+            outcome = "fails" if result.returncode == 1 else f"PASSES ({result.returncode})"
+            rows.append({"taken out": name, "test": test.partition("::")[2], "without it": outcome})
             print(rows[-1], flush=True)
     write_results(
         f"{group}_guards",
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""Tests that are known to fail for a real fault which has not been mended yet, as KNOWN-RED.txt lists them.
+"""Tests that are known to fail because of an unfixed fault, as listed in KNOWN-RED.txt.
 
     python -m tests.known_red
 
-checks the list against the tests that exist and prints it.  A line names the test, the cause and the issue,
-with `|` between them.  A listed test is run; CI passes over its failure alone, and fails once it passes.
+checks that the listed tests exist and prints the list.  A line has the form `test | cause | issue`.  A listed
+test is still run: CI tolerates its failure, and fails once the test passes.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 ROOT = Path(__file__).parent.parent
 LIST_PATH = ROOT / "KNOWN-RED.txt"
-MAX_KNOWN_RED = 3  # the operators' limit; a fourth fails CI
+MAX_KNOWN_RED = 3  # limit set by the operators; a longer list fails CI
 
 
 class InvalidListError(Exception):
-    """One sentence on what is wrong with the list."""
+    """The list is malformed; the message is one sentence that says how."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test by its pytest id, and why it fails."""
+    """A test, by its pytest id, with the cause of its failure and the number of the issue."""
 
     test: str
     cause: str
@@ -35,66 +35,69 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """The lines of a list; empty ones and those that begin with `#` are passed over."""
+    """Parses a list; empty lines and lines that begin with `#` are skipped.
+
+    Raises InvalidListError if a line is malformed, a test is listed twice or the list is too long.
+    """
     found = []
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
-            raise InvalidListError(f"{line!r} is not of the form test | cause | issue")
+            raise InvalidListError(f"{line!r} does not have the form `test | cause | issue`")
         found.append(KnownRed(*parts))
     if len(found) > MAX_KNOWN_RED:
-        raise InvalidListError(f"{len(found)} tests are listed, and {MAX_KNOWN_RED} are the most")
-    if len({one.test for one in found}) < len(found):
+        raise InvalidListError(f"{len(found)} tests are listed; at most {MAX_KNOWN_RED} are allowed")
+    if len({entry.test for entry in found}) < len(found):
         raise InvalidListError("a test is listed twice")
     return found
 
 
 def read_list(path: Path = LIST_PATH) -> list[KnownRed]:
-    """The list at a path; none where there is no file."""
+    """Reads the list from a file; it is empty if the file does not exist."""
     return parse(path.read_text()) if path.exists() else []
 
 
 def missing_tests(known: Iterable[KnownRed], collected: Iterable[str]) -> list[str]:
-    """Listed tests that do not exist."""
+    """Returns the listed tests that are not among the collected ones."""
     names = set(collected)
-    return [one.test for one in known if one.test not in names]
+    return [entry.test for entry in known if entry.test not in names]
 
 
 def mark(items: Iterable[pytest.Item], known: Iterable[KnownRed]) -> None:
-    """A listed test may fail, and fails where it passes."""
-    by_test = {one.test: one for one in known}
+    """Marks the listed tests as expected failures; such a test fails the run if it passes."""
+    by_test = {entry.test: entry for entry in known}
     for item in items:
-        if (one := by_test.get(item.nodeid)) is not None:
-            reason = f"{one.cause} (issue {one.issue})"
+        if (entry := by_test.get(item.nodeid)) is not None:
+            reason = f"{entry.cause} (issue {entry.issue})"
             item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
 
 
 def collect() -> list[str]:
-    """The ids of all tests that exist."""
-    done = subprocess.run(
+    """Returns the pytest ids of all tests."""
+    result = subprocess.run(
         [sys.executable, "-m", "pytest", "--collect-only", "-q", "-n", "0"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=True,
     )
-    return [line for line in done.stdout.splitlines() if "::" in line]
+    return [line for line in result.stdout.splitlines() if "::" in line]
 
 
 def main() -> int:
-    """Exit status 1 where the list is wrong."""
+    """Prints the list; exit status 1 if it is invalid."""
     try:
         known = read_list()
-        if known and (gone := missing_tests(known, collect())):
-            raise InvalidListError(f"these listed tests do not exist: {', '.join(gone)}")
+        if known and (unknown := missing_tests(known, collect())):
+            raise InvalidListError(f"these listed tests do not exist: {', '.join(unknown)}")
     except InvalidListError as error:
         print(f"KNOWN-RED.txt: {error}")
         return 1
     print(f"known to fail: {len(known)}")
-    for one in known:
-        print(f"  {one.test}: {one.cause} (issue {one.issue})")
+    for entry in known:
+        print(f"  {entry.test}: {entry.cause} (issue {entry.issue})")
     return 0
 
 
--- a/tests/store_guards.py
+++ b/tests/store_guards.py
@@ -1,4 +1,4 @@
-"""Guards of the store, each taken out by a few lines: see `tests.guards`."""
+"""Safety checks of the store and functions that disable each of them; see `tests.guards`."""
 
 from __future__ import annotations
 
@@ -14,51 +14,60 @@
 
 
 def answers_before_commit() -> None:
+    """Binding answers are sent before the data is on the disk."""
     persistence.BINDING = ()  # type: ignore[assignment]
 
 
 def trusts_own_folder() -> None:
+    """A folder counts as complete without answers from the rest of the replica set."""
     proof.Judge.missing_answers = property(lambda self: 0)  # type: ignore[assignment,method-assign]
 
 
 def accepts_any_claim() -> None:
+    """A claim is allowed even if a later mark has been received."""
     proof.Witness.allows = lambda self, name, claim: True  # type: ignore[method-assign]
 
 
 def forgets_earlier_runs() -> None:
-    of = ReplicaPersistence.from_folder.__func__  # type: ignore[attr-defined]
+    """A restarted router does not speak for the earlier runs that wrote its folder."""
+    from_folder = ReplicaPersistence.from_folder.__func__  # type: ignore[attr-defined]
 
-    def alone(
+    def without_runs(
         cls: type[ReplicaPersistence], own: Any, claim: Any, mark: Any, rows: Any
     ) -> ReplicaPersistence:
-        return of(cls, own, claim, mark, {x: y for x, y in rows.items() if x != persistence.RUNS_KEY})  # type: ignore[no-any-return]
+        return from_folder(  # type: ignore[no-any-return]
+            cls, own, claim, mark, {x: y for x, y in rows.items() if x != persistence.RUNS_KEY}
+        )
 
-    ReplicaPersistence.from_folder = classmethod(alone)  # type: ignore[assignment,method-assign]
+    ReplicaPersistence.from_folder = classmethod(without_runs)  # type: ignore[assignment,method-assign]
 
 
 def without_checksums() -> None:
+    """Damaged rows are not detected."""
     form.total_checksum = lambda checksums: 0
     form.apply_changes = _with_zero_checksum(form.apply_changes)
 
 
-def _with_zero_checksum(changed: Callable[..., Any]) -> Callable[..., Any]:
+def _with_zero_checksum(apply_changes: Callable[..., Any]) -> Callable[..., Any]:
     import msgspec
 
     def call(head: Any, held: Any, rows: Any) -> Any:
-        after, checks = changed(head, held, rows)
+        after, checks = apply_changes(head, held, rows)
         return msgspec.structs.replace(after, checksum=0), checks
 
     return call
 
 
 def without_owner_check() -> None:
+    """A folder of another owner is accepted."""
     Folder._check_head = lambda self, head: head  # type: ignore[method-assign]
 
 
 def without_file_identity() -> None:
+    """A commit goes to whichever file is at the path, not only to the one that was opened."""
     commit = Folder._commit
 
-    def blind(self: Folder, rows: Any, above: Any) -> Any:
+    def adopt_file_and_commit(self: Folder, rows: Any, above: Any) -> Any:
         import os
 
         try:
@@ -68,17 +77,18 @@
             pass
         return commit(self, rows, above)
 
-    Folder._commit = blind  # type: ignore[method-assign]
+    Folder._commit = adopt_file_and_commit  # type: ignore[method-assign]
 
 
 def without_stored_leases() -> None:
+    """Leases that were granted before a restart are forgotten."""
     load = Replica.load
 
-    def bare(self: Replica, now: float, slots: Any) -> None:
+    def load_without_leases(self: Replica, now: float, slots: Any) -> None:
         load(self, now, slots)
         self.lease_ends_ms.clear()
 
-    Replica.load = bare  # type: ignore[method-assign]
+    Replica.load = load_without_leases  # type: ignore[method-assign]
 
 
 LAB_STORE, STORE, MODEL_OWNERSHIP = (
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -1,4 +1,4 @@
-"""The example folder works as the README says, on ports that are free."""
+"""The example folder works as the README describes, on free ports."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from cloverhinge.lab.harness import ROOT, WAIT_S
 
 
-def test_a_newcomer_s_first_steps() -> None:
-    done = subprocess.run(
+def test_the_demo_runs_from_start_to_clean_end() -> None:
+    result = subprocess.run(
         [sys.executable, "example/demo.py"], cwd=ROOT, capture_output=True, text=True, timeout=6 * WAIT_S
     )
-    assert done.returncode == 0, done.stderr
-    assert "names 5 segments" in done.stdout and "has 188 bytes" in done.stdout
-    assert re.search(r"^toy-1 .* ready +up +1 ", done.stdout, re.M) and "ended with 0" in done.stdout
+    assert result.returncode == 0, result.stderr
+    assert "names 5 segments" in result.stdout and "has 188 bytes" in result.stdout
+    assert re.search(r"^toy-1 .* ready +up +1 ", result.stdout, re.M) and "ended with 0" in result.stdout
 
 
-def test_the_command_line_checks_and_names_itself(tmp_path: Path) -> None:
-    def run(*words: str) -> subprocess.CompletedProcess[str]:
+def test_the_command_line_prints_its_version_and_checks_site_files(tmp_path: Path) -> None:
+    def run(*arguments: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [sys.executable, "-m", "cloverhinge", *words],
+            [sys.executable, "-m", "cloverhinge", *arguments],
             cwd=ROOT,
             text=True,
             capture_output=True,
@@ -30,9 +30,9 @@
         )
 
     assert run("version").stdout.startswith("cloverhinge 0.")
-    done = run("check", "example/config.json", "--site", "example/site.toml")
-    assert done.returncode == 0 and "2 classes" in done.stdout and "HLS front: on" in done.stdout
+    result = run("check", "example/config.json", "--site", "example/site.toml")
+    assert result.returncode == 0 and "2 classes" in result.stdout and "HLS front: on" in result.stdout
     (tmp_path / "site.toml").write_text('[hls]\nlisten = "127.0.0.1:1"\nkey = "short"\n')
-    done = run("check", "example/config.json", "--site", str(tmp_path / "site.toml"))
-    assert done.returncode == 2 and "32 characters" in done.stderr and done.stderr.count("\n") == 1
+    result = run("check", "example/config.json", "--site", str(tmp_path / "site.toml"))
+    assert result.returncode == 2 and "32 characters" in result.stderr and result.stderr.count("\n") == 1
     assert run("serve", "--site", "nowhere.toml").returncode == 2
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: what it lets pass, and what it does not."""
+"""The list of known failures: its format, and which test results it tolerates."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 LINE = "test_some.py::test_one | a cause | 33"
 
 
-def test_a_line_names_the_test_the_cause_and_the_issue() -> None:
+def test_a_line_is_parsed_into_test_cause_and_issue() -> None:
     assert parse(f"# about\n\n{LINE}\n") == [KnownRed("test_some.py::test_one", "a cause", "33")]
 
 
@@ -27,12 +27,12 @@
         "\n".join(f"t{n} | cause | 33" for n in range(4)),
     ],
 )
-def test_a_bad_or_long_list_is_refused(text: str) -> None:
+def test_a_malformed_or_too_long_list_is_rejected(text: str) -> None:
     with pytest.raises(InvalidListError):
         parse(text)
 
 
-def test_a_listed_test_that_does_not_exist_is_named() -> None:
+def test_listed_tests_that_do_not_exist_are_found() -> None:
     assert missing_tests(parse(LINE), ["test_some.py::test_two"]) == ["test_some.py::test_one"]
 
 
@@ -45,7 +45,7 @@
         (False, "pass", True),
     ],
 )
-def test_only_the_failure_of_a_listed_test_is_passed_over(
+def test_only_the_failure_of_a_listed_test_is_tolerated(
     tmp_path: Path, listed: bool, body: str, passes: bool
 ) -> None:
     (tmp_path / "conftest.py").write_text(
@@ -54,7 +54,7 @@
     )
     (tmp_path / "test_some.py").write_text(f"def test_one():\n    {body}\n")
     command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", str(tmp_path)]
-    done = subprocess.run(
+    result = subprocess.run(
         command, cwd=tmp_path, env={"PYTHONPATH": str(ROOT)}, capture_output=True, text=True, check=False
     )
-    assert (done.returncode == 0) is passes, done.stdout
+    assert (result.returncode == 0) is passes, result.stdout
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in the README runs and does what it says."""
+"""The Python example in the README runs and prints the actions that the README describes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def test_the_example_prints_a_rung_and_a_set_up() -> None:
     found = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert found
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", found[1]], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    assert [line.split("(")[0] for line in done.stdout.splitlines()] == ["SetRung", "SetUp"]
+    assert [line.split("(")[0] for line in result.stdout.splitlines()] == ["SetRung", "SetUp"]
