--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that anyone can run again, one command each; outside the product and of CI."""
+"""Reproducible measurements, one command each; they are part neither of the product nor of CI."""
--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -1,10 +1,10 @@
-"""Plays days of the operators' bench over many seeds and writes one table of their verdicts.
+"""Plays days of the operators' bench with many seeds and writes a table of the verdicts.
 
     python -m benchmarks.acceptance BENCH SITE [--days LIST] [--seeds LIST] [--side DIR]
 
-BENCH is the operators' program and SITE the deployment to play.  A play that fails, or ends with no verdict,
-is a row like any other and does not stop the rest.  Rows are written as they come, so that a sweep which was
-stopped by hand leaves what it has measured.  The repository has to be built before, as all share one build.
+BENCH is the operators' program and SITE the deployment to play.  A play that fails or ends without a verdict
+gets a row like any other and does not stop the sweep.  Rows are written as plays end, so that an interrupted
+sweep leaves what it has measured.  The repository has to be built first, as all plays share one build.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 DAYS = "roll+mass,split+mass,join+mass"
 SEEDS = "1-10"
 NODES = "30"
-PLAY_LIMIT_S = 900.0  # a play that takes longer is ended and recorded as one without a verdict
+PLAY_LIMIT_S = 900.0  # a longer play is ended and recorded without a verdict
 SIDE_FILES = ("real.json", "wire.json", "unlock.txt")
-CORES_PER_PLAY = 2  # a play's processes run one at a time, beside the bench itself
+CORES_PER_PLAY = 2  # a play's processes run one at a time, next to the bench itself
 RESTARTS = re.compile(r"restarts took \[([^]]*)\]")
-CLASS_FLOOR = 2  # position of the floor in a row of `by_class`: name, served, floor
+CLASS_FLOOR = 2  # index of the floor in a row of `by_class`: name, served, floor
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """One play.  `rules` names the broken ones; shares are of the day's worth; times are in seconds."""
+    """The result of one play: `rules` lists the broken rules; shares are of the day's worth, times in s."""
 
     day: str
     seed: int
@@ -53,7 +53,7 @@
 
 
 def numbers(text: str) -> list[int]:
-    """Seeds from `1-10` or `1,4,9`."""
+    """Parses a list of seeds such as `1-10` or `1,4,9`."""
     found: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -62,7 +62,7 @@
 
 
 def lowest_class(day: dict[str, Any]) -> str:
-    """The class that is nearest to its floor, and how far above it."""
+    """Returns the class with the smallest margin above its floor, and the margin; "" without floors."""
     margins = [
         (row[1] - row[CLASS_FLOOR], row[0])
         for row in day.get("by_class") or ()
@@ -75,7 +75,7 @@
 
 
 def judge(day: dict[str, Any]) -> str:
-    """`passed`, or what failed: a rule, a fault, or a share under its floor."""
+    """Returns `passed`, or what failed: a fault, a rule, or a share below its floor."""
     if day.get("fault"):
         return "fault"
     if any((day.get("rules") or {}).values()):
@@ -89,7 +89,7 @@
 
 
 def read(kind: str, seed: int, nodes: int, report: Path, output: str) -> Verdict:
-    """The verdict of a play that has ended; one without a report has none."""
+    """Reads the verdict of a play that has ended; without a report it is `no verdict`."""
     snapshot = output.rpartition("snapshot ")[2].strip()[:8]
     if not report.exists():
         last = output.strip().splitlines()[-1:] or [""]
@@ -115,7 +115,7 @@
 
 
 def play(bench: str, site: str, kind: str, seed: int, nodes: int, logs: Path | None) -> Verdict:
-    """One play, as its page says, without a build of its own."""
+    """Plays one day with the existing build; `logs` is the folder for its output, if wanted."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
         command = [
@@ -134,16 +134,18 @@
         if logs is not None:
             command += ["--logs", str(logs / f"{kind}-{seed}")]
         try:
-            done = subprocess.run(command, capture_output=True, text=True, timeout=PLAY_LIMIT_S, check=False)
+            result = subprocess.run(
+                command, capture_output=True, text=True, timeout=PLAY_LIMIT_S, check=False
+            )
         except subprocess.TimeoutExpired:
             return Verdict(kind, seed, nodes, "no verdict", "", f"over {PLAY_LIMIT_S:.0f} s")
         if logs is not None:
-            (logs / f"{kind}-{seed}.txt").write_text(done.stdout + done.stderr)
-        return read(kind, seed, nodes, report, done.stdout + done.stderr)
+            (logs / f"{kind}-{seed}.txt").write_text(result.stdout + result.stderr)
+        return read(kind, seed, nodes, report, result.stdout + result.stderr)
 
 
 def copy_side_files(site: Path, side: Path) -> None:
-    """The names that the bench uses on the wire; git ignores them beside a site file of our own."""
+    """Copies the files with the bench's names on the wire next to a site file, where they are missing."""
     for name in SIDE_FILES:
         if not (site.parent / name).exists():
             (site.parent / name).write_bytes((side / name).read_bytes())
@@ -152,11 +154,11 @@
 def sweep(
     bench: str, site: str, plays: list[tuple[str, int]], nodes: int, jobs: int, logs: Path | None
 ) -> Iterator[Verdict]:
-    """All plays, as many at once as told, each verdict as it comes."""
+    """Runs the plays, `jobs` at a time, and yields each verdict as its play ends."""
     with ThreadPoolExecutor(jobs) as pool:
         running = [pool.submit(play, bench, site, kind, seed, nodes, logs) for kind, seed in plays]
-        for one in as_completed(running):
-            yield one.result()
+        for future in as_completed(running):
+            yield future.result()
 
 
 USAGE = f"""Usage: acceptance BENCH SITE [options]
@@ -173,20 +175,20 @@
 
 
 def main() -> int:
-    """Exit status 1 where any play failed or had no verdict."""
-    told = docopt(USAGE)
-    plays = [(kind, seed) for kind in told["--days"].split(",") for seed in numbers(told["--seeds"])]
-    if told["--side"]:
-        copy_side_files(Path(told["SITE"]), Path(told["--side"]))
-    jobs = int(told["--jobs"] or max(1, (os.cpu_count() or 1) // CORES_PER_PLAY))
-    logs = Path(told["--logs"]) if told["--logs"] else None
+    """Runs the sweep; exit status 1 if a play failed or had no verdict."""
+    options = docopt(USAGE)
+    plays = [(kind, seed) for kind in options["--days"].split(",") for seed in numbers(options["--seeds"])]
+    if options["--side"]:
+        copy_side_files(Path(options["SITE"]), Path(options["--side"]))
+    jobs = int(options["--jobs"] or max(1, (os.cpu_count() or 1) // CORES_PER_PLAY))
+    logs = Path(options["--logs"]) if options["--logs"] else None
     if logs is not None:
         logs.mkdir(parents=True, exist_ok=True)
     failed = 0
-    with Path(told["--out"]).open("w", newline="") as file:
+    with Path(options["--out"]).open("w", newline="") as file:
         table = csv.writer(file)
         table.writerow(field.name for field in fields(Verdict))
-        for verdict in sweep(told["BENCH"], told["SITE"], plays, int(told["--nodes"]), jobs, logs):
+        for verdict in sweep(options["BENCH"], options["SITE"], plays, int(options["--nodes"]), jobs, logs):
             failed += verdict.verdict != "passed"
             table.writerow(astuple(verdict))
             file.flush()
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -1,8 +1,9 @@
-"""All routers of a room killed and started together, under viewers who go on coming, second by second.
+"""Measures the restart of all routers of a site at once while viewers keep arriving, second by second.
 
     python -m benchmarks.comeback [SECONDS]
 
-Five routers with members and custody, with stores and without, four boxes of 60 places, sessions of 6 s.
+Five routers with membership and ownership, with stores and without; four media servers of 60 places; sessions
+of 6 s.
 """
 
 from __future__ import annotations
@@ -28,6 +29,7 @@
 
 
 def site_tables(boxes: list[MediaBox], stores: bool) -> str:
+    """Returns the tables of the routers' site files."""
     store = ["[store]", 'folder = "{folder}/store"'] if stores else []
     titles = (f"t{n} = {{ copies = 3, length_s = 20 }}" for n in range(TITLES))
     lines = [
@@ -48,7 +50,7 @@
 
 
 class Crowd:
-    """Viewers in an open loop: each comes at its time to a router, and is counted in that second."""
+    """Viewers in an open loop, each at a random router; answers are counted by the second of arrival."""
 
     def __init__(self, made: Rig, seed: int) -> None:
         self.rig, self.random = made, random.Random(seed)
@@ -60,6 +62,7 @@
 
     @property
     def now(self) -> float:
+        """Seconds since the start."""
         return time.monotonic() - self.begun
 
     def _run(self) -> None:
@@ -69,20 +72,22 @@
             router, title = self.rig[self.random.randrange(ROUTERS)], self.random.randrange(TITLES)
             self.pool.submit(self._fetch, number, int(due), router.number, title)
 
-    def _fetch(self, number: int, second: int, at: int, title: int) -> None:
-        router = self.rig[at]
+    def _fetch(self, number: int, second: int, router_number: int, title: int) -> None:
+        router = self.rig[router_number]
         status = 0
         if "HLS" in router.ports:
             status, _ = viewers.get(self.rig, router, f"/play/free/t{title}?play=view-{number:08d}", 4.0)
         self.answers.setdefault(second, Counter())[status] += 1
 
     def stop(self) -> None:
+        """Stops arrivals and waits for all answers."""
         self.ended.set()
         self.thread.join()
         self.pool.shutdown()
 
 
 def measure(stores: bool, after_s: float, seed: int = 1) -> Rows:
+    """Returns a row for each second before the restart and for `after_s` seconds from it on."""
     boxes: list[MediaBox] = [Limited(f"s-{n:08x}", n % 3, PLACES, SESSION_S) for n in range(SERVERS)]
     rows: Rows = []
     with (
@@ -95,30 +100,30 @@
         crowd = Crowd(made, seed)
         counts: dict[int, list[int]] = {}
 
-        def look(until_s: float) -> None:
+        def count_sessions(until_s: float) -> None:
             while crowd.now < until_s:
                 counts.setdefault(int(crowd.now), [len(x.sessions) for x in boxes])
                 made.record.pause(0.1)
 
-        look(BEFORE_S)
+        count_sessions(BEFORE_S)
         for router in made.routers:
             router.kill()
         for router in made.routers:
             router.start()
-        back = crowd.now
-        look(back + after_s)
+        restarted_s = crowd.now
+        count_sessions(restarted_s + after_s)
         crowd.stop()
         for second in sorted(crowd.answers):
-            told = crowd.answers[second]
+            answers = crowd.answers[second]
             rows.append(
                 {
                     "stores": "on" if stores else "off",
-                    "second": second - int(back),
-                    "came": told.total(),
-                    "served": f"{told[200] / max(told.total(), 1):.0%}",
-                    "refused": told[503],
-                    "failed": told[502] + told[504],
-                    "nobody there": told[0],
+                    "second": second - int(restarted_s),
+                    "came": answers.total(),
+                    "served": f"{answers[200] / max(answers.total(), 1):.0%}",
+                    "refused": answers[503],
+                    "failed": answers[502] + answers[504],
+                    "nobody there": answers[0],
                     "sessions at the boxes": " ".join(map(str, counts.get(second, ()))),
                 }
             )
@@ -126,16 +131,17 @@
 
 
 def main() -> None:
+    """Writes a table without stores and one with them."""
     after_s = float(sys.argv[1]) if len(sys.argv) > 1 else 25.0
-    about = (
-        f"{ROUTERS} routers, {SERVERS} boxes of {PLACES} places, sessions of {SESSION_S:.0f} s whose "
-        f"titles say 20 s, {ARRIVALS_PER_S:.0f} viewers a second who come once."
+    description = (
+        f"{ROUTERS} routers, {SERVERS} media servers of {PLACES} places, sessions of {SESSION_S:.0f} s whose "
+        f"titles declare a length of 20 s, {ARRIVALS_PER_S:.0f} viewers a second who request once."
     )
     write_results(
         "comeback",
-        "Coming back: all routers killed and started at second 0",
+        "Restart of all routers at second 0",
         [
-            (f"{about} Stores {'on' if stores else 'off'}.", measure(stores, after_s))
+            (f"{description} Stores {'on' if stores else 'off'}.", measure(stores, after_s))
             for stores in (False, True)
         ],
         "python -m benchmarks.comeback",
--- a/benchmarks/custody.py
+++ b/benchmarks/custody.py
@@ -1,9 +1,9 @@
-"""Custody measured: on real processes behind the lab's hub, and its records alone where there are many.
+"""Measures ownership: with real processes behind the lab's hub, and its records alone for larger numbers.
 
     python -m benchmarks.custody [kills [N] | wait | setups | both | flood | records | soak [MINUTES]] ...
 
-Without a part all are run (an hour, half of it the soak); with parts, the others keep their last figures,
-which docs/results/custody.json holds.
+Without arguments all parts run (an hour, half of it the soak); otherwise the parts that are not named keep
+their last figures, which docs/results/custody.json holds.
 """
 
 from __future__ import annotations
@@ -38,6 +38,7 @@
 
 
 def start_rig(folder: Path, on: bool, titles: int = 2000) -> AbstractContextManager[Rig]:
+    """Starts five routers, with ownership or without."""
     return viewers.keeping(folder, 5, titles, 600.0, on, program=OPTIMIZED)
 
 
@@ -46,21 +47,22 @@
 
 
 def final_status(made: Rig, router: Router, number: int) -> int:
+    """Fetches a play until its answer is final; returns the status."""
     return viewers.final(made, router, number, seconds=TIMEOUT_S)[0]
 
 
 def end_all_sessions(made: Rig) -> None:
-    """The boxes end all, so that there is room for the next ones."""
-    for box in made.boxes:
-        for session in list(box.sessions):
-            box.end(session)
+    """Ends all sessions at the media servers, which frees capacity for the next ones."""
+    for server in made.boxes:
+        for session in list(server.sessions):
+            server.end(session)
     wait_until(made, "all ends are heard", lambda: sum(x.status()["standing"] for x in made.routers) == 0)
-    for box in made.boxes:
-        box.ended.clear()
+    for server in made.boxes:
+        server.ended.clear()
 
 
 def measure_kills(on: bool, kills: int) -> dict[str, object]:
-    """A router with ten paid plays that stand is killed; the same plays are fetched at others."""
+    """Kills a router with ten established paid plays, and fetches the plays at other routers."""
     draw, number, owned, answers = random.Random(3), 0, [], Counter[int]()
     with tempfile.TemporaryDirectory() as name, start_rig(Path(name), on) as made:
         for _ in range(kills):
@@ -68,8 +70,8 @@
             plays = range(number, number + PLAYS)
             number += PLAYS
             for one in plays:
-                told = final_status(made, victim, one)
-                assert told == 200, (on, one, told, made.record.tail())
+                status = final_status(made, victim, one)
+                assert status == 200, (on, one, status, made.record.tail())
             others = [x for x in made.routers if x is not victim]
             before = sum(custody_of(x)["taken_over"] for x in others) if on else 0
             at = made.record.now()
@@ -114,35 +116,37 @@
 
 
 def kills(count: int = 100) -> Rows:
+    """Compares kills without ownership (a tenth of the count, at least 5) and with it."""
     return [measure_kills(False, max(5, count // 10)), measure_kills(True, count)]
 
 
 def sequential_set_ups(made: Rig, router: Router, kind: str, first: int, count: int) -> list[float]:
-    """Set-ups over RTSP one after the other on one connection; ms until each answer."""
-    took = []
+    """Sets up sessions one after the other over RTSP; returns the ms until each answer with 200."""
+    delays_ms = []
     wire, _ = set_up(made, router, f"{first:016x}", "t0", kind)
     wire.send("TEARDOWN rtsp://media/x RTSP/1.0", f"{first:016x}", 2)
     answer(wire)
     for number in range(first + 1, first + count):
-        session, begun = f"{number:016x}", time.monotonic()
+        session, started = f"{number:016x}", time.monotonic()
         viewers.ask_for(wire, session, "t0", kind)
-        told = answer(wire)
-        if told.status != 200:
-            made.record.pause(0.2)  # a cold box takes a few at a time
+        response = answer(wire)
+        if response.status != 200:
+            made.record.pause(0.2)  # a cold media server accepts only a few at a time
             continue
-        took.append((time.monotonic() - begun) * 1000.0)
+        delays_ms.append((time.monotonic() - started) * 1000.0)
         wire.send("TEARDOWN rtsp://media/x RTSP/1.0", session, 2)
         answer(wire)
     wire.close()
-    return took
+    return delays_ms
 
 
 def rig_with_fast_servers(folder: Path, on: bool) -> Any:
-    boxes = [Quick(f"s-{n:08x}", n) for n in range(2)]
+    """Starts five routers with media servers that answer at once, with ownership or without."""
+    servers = [Quick(f"s-{n:08x}", n) for n in range(2)]
     return rig(
         folder,
         5,
-        pumps=boxes,
+        pumps=servers,
         gated=False,
         program=OPTIMIZED,
         fleetSize=1,
@@ -151,8 +155,8 @@
 
 
 def waits(count: int = 1000) -> Rows:
-    """The same set-ups at a router of five with custody and one of five without, by turns."""
-    took: dict[tuple[str, str], list[float]] = {}
+    """Compares the delay of set-ups at one of five routers, by turns with ownership and without."""
+    delays_ms: dict[tuple[str, str], list[float]] = {}
     with tempfile.TemporaryDirectory() as name:
         (Path(name) / "on").mkdir()
         (Path(name) / "off").mkdir()
@@ -163,19 +167,19 @@
             until_rostered(on)
             for turn in range(10):
                 for kind in ("paid", "free"):
-                    for word, made in (("off", off), ("on", on)):
+                    for mode, made in (("off", off), ("on", on)):
                         first = turn * 10_000 + 1 + (5000 if kind == "paid" else 0)
-                        took.setdefault((kind, word), []).extend(
+                        delays_ms.setdefault((kind, mode), []).extend(
                             sequential_set_ups(made, made[0], kind, first, count // 10)
                         )
     rows: Rows = []
     for kind in ("paid", "free"):
-        for word in ("off", "on"):
-            values = took[kind, word]
+        for mode in ("off", "on"):
+            values = delays_ms[kind, mode]
             rows.append(
                 {
                     "class": kind,
-                    "custody": word,
+                    "custody": mode,
                     "n": len(values),
                     "p50 ms": percentile(values, 0.5),
                     "p99 ms": percentile(values, 0.99),
@@ -186,42 +190,42 @@
 
 
 def setups(rounds: int = 4, seconds: float = 1.5) -> Rows:
-    """Closed loop of six lines at one router of five, by turns with custody and without."""
+    """Compares set-ups in a closed loop of six connections at one of five routers, ownership on and off."""
     from concurrent.futures import ProcessPoolExecutor
     from multiprocessing import get_context
 
     from benchmarks.members import run_closed_loop
 
-    seen: dict[str, list[tuple[int, float, list[float]]]] = {"off": [], "on": []}
+    results: dict[str, list[tuple[int, float, list[float]]]] = {"off": [], "on": []}
     viewers = ProcessPoolExecutor(1, mp_context=get_context("spawn"))
     with tempfile.TemporaryDirectory() as name, viewers as pool:
         for turn in range(rounds):
             folder = Path(name) / str(turn)
-            for word in ("on", "off"):
-                (folder / word).mkdir(parents=True)
+            for mode in ("on", "off"):
+                (folder / mode).mkdir(parents=True)
             with (
                 rig_with_fast_servers(folder / "on", True) as on,
                 rig_with_fast_servers(folder / "off", False) as off,
             ):
                 until_rostered(on)
                 for part in range(4):
-                    for word, made in (("off", off), ("on", on))[:: 1 if part % 2 else -1]:
+                    for mode, made in (("off", off), ("on", on))[:: 1 if part % 2 else -1]:
                         process = made[0].process
                         assert process is not None
-                        seen[word].append(
+                        results[mode].append(
                             pool.submit(
                                 run_closed_loop, made[0].ports["listening"], process.pid, seconds
                             ).result()
                         )
     rows: Rows = []
-    for word, all_ in seen.items():
-        count = sum(x[0] for x in all_)
+    for mode, runs in results.items():
+        count = sum(x[0] for x in runs)
         rows.append(
             {
-                "custody": word,
-                "set-ups a second": count / len(all_) / seconds,
-                "a second of its processor": count / sum(x[1] for x in all_),
-                "p99 ms": percentile([y for x in all_ for y in x[2]], 0.99),
+                "custody": mode,
+                "set-ups a second": count / len(runs) / seconds,
+                "a second of its processor": count / sum(x[1] for x in runs),
+                "p99 ms": percentile([y for x in runs for y in x[2]], 0.99),
             }
         )
     off_, on_ = rows
@@ -235,7 +239,7 @@
 
 
 class CoresInProcess:
-    """Three routers' machines in one process, messages carried by hand."""
+    """The ownership cores of three routers in one process, with messages delivered directly."""
 
     def __init__(self) -> None:
         members = [Member(f"r{n}", n + 1, "main") for n in range(3)]
@@ -268,10 +272,10 @@
 
 
 def records() -> Rows:
-    """Bytes and time a session."""
+    """Measures the bytes held and sent, and the processor time, for each session."""
     rows: Rows = []
     for count in (1000, 10_000, 50_000):
-        made, body = CoresInProcess(), b"x" * 120  # what a front keeps of a session, about
+        made, body = CoresInProcess(), b"x" * 120  # about the size of a front's record of a session
         begun, before = time.process_time(), made.bytes
         for number in range(count):
             made.add_record(number, body)
@@ -302,7 +306,7 @@
 
 
 def soak(minutes: float) -> Rows:
-    """Random kills, pauses, cuts and losses; viewers come at any router and come again elsewhere."""
+    """Injects random kills, pauses, partitions and losses while viewers fetch plays at any of the routers."""
     draw, answers, faults = random.Random(17), Counter[str](), Counter[str]()
     with tempfile.TemporaryDirectory() as name, start_rig(Path(name), True, titles=20_000) as made:
         until_ms, number = made.record.now() + minutes * 60_000.0, 0
@@ -364,7 +368,7 @@
 
 
 def both(count: int = 1000) -> Rows:
-    """Two fetches of one play at two routers at once."""
+    """Fetches each play at two routers at the same time."""
     answers: Counter[int] = Counter()
     with (
         tempfile.TemporaryDirectory() as name,
@@ -390,7 +394,7 @@
 
 
 def flood(seconds: float = 60.0) -> Rows:
-    """One of five is killed every 2 s and started again at once, with viewers at all of them."""
+    """Kills one of five routers every 2 s and restarts it at once, with viewers at all of them."""
     draw, answers, kills_, number = random.Random(23), Counter[str](), 0, 0
     with tempfile.TemporaryDirectory() as name, start_rig(Path(name), True, titles=5000) as made:
         until_ms, next_ms = made.record.now() + seconds * 1000.0, made.record.now()
@@ -422,7 +426,7 @@
 
 
 def final_state(made: Rig) -> dict[str, object]:
-    """Ten seconds after the last fault: what is left standing, and who has it."""
+    """Counts, ten seconds after the last fault, the sessions that are left and any inconsistency."""
     made.record.pause(10.0)
     return {
         "set up twice": sum(x > 1 for x in set_ups(made.record).values()),
@@ -435,20 +439,21 @@
 
 PARTS: dict[str, tuple[str, Any]] = {
     "kills": (
-        "A router of five with ten paid plays that stand is killed; the plays are fetched at others. "
-        "Off has a tenth of the kills.",
+        "A router of five with ten established paid plays is killed; the plays are fetched at others. "
+        "Without ownership there are a tenth of the kills.",
         kills,
     ),
-    "wait": ("Set-ups over RTSP one after the other at one router of five: what custody adds.", waits),
-    "setups": ("Set-ups in a closed loop of six lines at one router of five, repeatable ones.", setups),
-    "both": ("Two fetches of one paid play at two routers in the same moment.", both),
-    "flood": ("A router is killed every 2 s and started again, with viewers at all of them.", flood),
-    "records": ("The records alone, three routers in one process.", records),
+    "wait": ("Sequential set-ups over RTSP at one of five routers: the delay that ownership adds.", waits),
+    "setups": ("Repeatable set-ups in a closed loop of six connections at one of five routers.", setups),
+    "both": ("Two fetches of one paid play at two routers at the same time.", both),
+    "flood": ("A router is killed every 2 s and restarted, with viewers at all of them.", flood),
+    "records": ("The records by themselves, three routers in one process.", records),
     "soak": ("Random kills, pauses, cuts and losses of up to a fifth, with viewers all the time.", soak),
 }
 
 
 def main() -> None:
+    """Runs the parts that the command line names, and writes all tables."""
     path = RESULTS / "custody.json"
     held: dict[str, Rows] = json.loads(path.read_text()) if path.exists() else {}
     words = sys.argv[1:]
@@ -465,7 +470,7 @@
         path.write_text(json.dumps(held, indent=1) + "\n")
     write_results(
         "custody",
-        "Custody",
+        "Ownership",
         [(PARTS[x][0], held[x]) for x in PARTS if x in held],
         "python -m benchmarks.custody",
     )
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -1,10 +1,10 @@
-"""The door off and on, in one run.
+"""Measures admission, switched off and on, in one run.
 
     python -m benchmarks.door [--before FOLDER]
 
-Shares, quotes, waits, memory and cost in virtual time (benchmarks/world.py); set-ups a second over RTSP
-with the real program and a stand-in box.  `--before` names a checkout of an earlier version, measured
-beside the present one.
+Shares, retry-after estimates, waits, memory and processor time are measured in virtual time
+(benchmarks/world.py), and set-ups a second over RTSP with the real program and simulated media servers.
+`--before` names a checkout of an earlier version that is measured as well, for comparison.
 """
 
 from __future__ import annotations
@@ -40,12 +40,13 @@
 )
 
 
-def percentile(values: list[float], part: float) -> float:
-    return sorted(values)[min(int(len(values) * part), len(values) - 1)] if values else math.nan
+def percentile(values: list[float], fraction: float) -> float:
+    """Returns the value below which a fraction of the values lies; nan without values."""
+    return sorted(values)[min(int(len(values) * fraction), len(values) - 1)] if values else math.nan
 
 
 class TimedAdmission:
-    """The time spent in the door, room checks included, and in all of the core."""
+    """Measures the time spent in the admission queue, including its capacity checks."""
 
     def __init__(self, gate: AdmissionGateway | None, world: World) -> None:
         self.admission_s, self.calls, self.depth = 0.0, 0, 0
@@ -54,43 +55,44 @@
             setattr(gate.queue, name, self._wrap(getattr(gate.queue, name)))
 
     def _wrap(self, call: Callable[..., Any]) -> Callable[..., Any]:
-        def timed(*words: Any) -> Any:
+        def timed(*arguments: Any) -> Any:
             self.depth += 1
-            since = time.perf_counter()
+            started = time.perf_counter()
             try:
-                return call(*words)
+                return call(*arguments)
             finally:
                 self.depth -= 1
                 if not self.depth:
-                    self.admission_s += time.perf_counter() - since
+                    self.admission_s += time.perf_counter() - started
 
         return timed
 
 
 def shares() -> list[dict[str, object]]:
+    """Returns rows on how two clients of unequal demand share the capacity, by protocol."""
     rows: list[dict[str, object]] = []
-    wires: tuple[tuple[str, dict[str, Any]], ...] = (
+    protocols: tuple[tuple[str, dict[str, Any]], ...] = (
         ("HLS, whole seconds", {"retry_after_step_ms": 1000.0}),
         ("RTSP, cut at 1 s", {"max_retry_after_ms": 1000.0}),
     )
-    for wire, more in wires:
+    for protocol, fields in protocols:
         for on in (False, True):
             crowds = [
-                Crowd("maple", "10.1.0.1", 5, check_share=0.2, patience_ms=90_000.0, **more),
-                Crowd("birch", "10.2.0.1", 50, check_share=0.2, patience_ms=90_000.0, **more),
+                Crowd("maple", "10.1.0.1", 5, check_share=0.2, patience_ms=90_000.0, **fields),
+                Crowd("birch", "10.2.0.1", 50, check_share=0.2, patience_ms=90_000.0, **fields),
             ]
             world = World(settings(4, 50), crowds)
             gate = AdmissionGateway(ADMISSION, world.router, world.deadlines, 1) if on else None
-            timed, since = TimedAdmission(gate, world), time.process_time()
+            timed, started = TimedAdmission(gate, world), time.process_time()
             world.run(60_000.0)
-            took = time.process_time() - since
+            used_s = time.process_time() - started
             asked, back = (sum(getattr(x.tally, name) for x in crowds) for name in ("asked", "back"))
-            told = gate.status() if gate is not None else []
-            kept, broken, near = (sum(x[name] for x in told) for name in ("kept", "broken", "near"))
-            waits = [x for one in crowds for x in one.tally.waits_ms]
+            status = gate.status() if gate is not None else []
+            kept, broken, near = (sum(x[name] for x in status) for name in ("kept", "broken", "near"))
+            waits = [x for crowd in crowds for x in crowd.tally.waits_ms]
             rows.append(
                 {
-                    "wire": wire,
+                    "wire": protocol,
                     "door": "on" if on else "off",
                     "small served (ideal 1)": crowds[0].tally.served / crowds[0].tally.arrived,
                     "large served (ideal 0.30)": crowds[1].tally.served / crowds[1].tally.arrived,
@@ -102,13 +104,14 @@
                     "wait p50 ms": percentile(waits, 0.5),
                     "wait p99 ms": percentile(waits, 0.99),
                     "door us a request": timed.admission_s * 1e6 / asked if on else 0.0,
-                    "all us a request": took * 1e6 / asked,
+                    "all us a request": used_s * 1e6 / asked,
                 }
             )
     return rows
 
 
 def classes() -> list[dict[str, object]]:
+    """Returns rows on the waits of the two classes of service."""
     rows: list[dict[str, object]] = []
     for on in (False, True):
         crowds = [
@@ -129,8 +132,8 @@
         world.run(60_000.0)
         for kind in ("check", "coaching"):
             tallies = [x.tally for x in crowds if x.name.endswith(kind)]
-            waits = [x for one in tallies for x in one.waits_ms]
-            whole = [x for one in tallies for x in one.served_ms]
+            waits = [x for tally in tallies for x in tally.waits_ms]
+            totals = [x for tally in tallies for x in tally.served_ms]
             rows.append(
                 {
                     "door": "on" if on else "off",
@@ -138,26 +141,27 @@
                     "served": sum(x.served for x in tallies) / sum(x.arrived for x in tallies),
                     "wait p50 ms": percentile(waits, 0.5),
                     "wait p99 ms": percentile(waits, 0.99),
-                    "first ask to served p50 ms": percentile(whole, 0.5),
-                    "p99 ms": percentile(whole, 0.99),
+                    "first ask to served p50 ms": percentile(totals, 0.5),
+                    "p99 ms": percentile(totals, 0.99),
                 }
             )
     return rows
 
 
 def rss_mb() -> float:
+    """Returns this process's resident memory in MB."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
 def flood(thousands: int) -> float:
-    """Resident MB after so many thousand fake clients, each of its own address, id and title."""
+    """Returns the resident MB after requests of fake clients, each with its own address, id and title."""
     world = World(settings(4, 50), [])
     AdmissionGateway(ADMISSION, world.router, world.deadlines, 1)
     world.run(10.0)
     viewer: Any = Crowd("fake", "", 0)
     viewer.served = viewer.refused = viewer.failed = viewer.released = lambda *_: None
     for number in range(thousands * 1000):
-        ask = SetUpRequest(
+        set_up = SetUpRequest(
             f"{number:016x}",
             "coaching",
             f"title-{number}",
@@ -169,7 +173,7 @@
             viewer_id=f"fake-{number}",
             peer_address=str(ip_address(0xC6120000 + number)),
         )
-        world.router.open_request(ask, viewer, world)
+        world.router.open_request(set_up, viewer, world)
         if number % 10 == 0:
             world.run(10.0)
     gc.collect()
@@ -177,24 +181,30 @@
 
 
 def memory() -> list[dict[str, object]]:
+    """Returns rows on the memory after floods of fake clients, each in a process of its own."""
     rows: list[dict[str, object]] = []
     for thousands in (1, 10, 100):
         code = f"from benchmarks.door import flood; print(flood({thousands}))"
-        done = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, check=True)
-        rows.append({"fake clients": thousands * 1000, "resident MB": round(float(done.stdout), 2)})
+        result = subprocess.run(
+            [sys.executable, "-O", "-c", code], capture_output=True, text=True, check=True
+        )
+        rows.append({"fake clients": thousands * 1000, "resident MB": round(float(result.stdout), 2)})
     return rows
 
 
 def cpu_time_s(process: int) -> float:
-    """Processor time of a process, in seconds."""
-    words = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
-    return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+    """Returns the processor time that a process has used, in seconds."""
+    fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def measure_set_up_rate(
     folder: Path, door: bool, seconds: float = 4.0, lines: int = 8
 ) -> tuple[float, float]:
-    """Set-ups a second, and a second of the router's processor time; viewers ask, hear, end and ask again."""
+    """Returns set-ups a second, and a second of the router's processor time.
+
+    Each viewer sets up a session, ends it once it is answered, and starts again, on one connection.
+    """
     from cloverhinge.lab.harness import SETTINGS, ChangeLog, Quick, Wire, answer
 
     pumps, log = [Quick(f"s-{n:08x}", n) for n in range(2)], ChangeLog()
@@ -214,9 +224,20 @@
             )
         )
         site.write_text(f'[door]\nkey = "{"d" * 32}"\n' if door else "")
-        words = [sys.executable, "-O", "-m", "cloverhinge", "serve", *(["--site", str(site)] if door else [])]
+        command = [
+            sys.executable,
+            "-O",
+            "-m",
+            "cloverhinge",
+            "serve",
+            *(["--site", str(site)] if door else []),
+        ]
         process = subprocess.Popen(
-            words, cwd=folder, stderr=subprocess.PIPE, text=True, env={**os.environ, "LB_CONFIG": str(config)}
+            command,
+            cwd=folder,
+            stderr=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "LB_CONFIG": str(config)},
         )
         assert process.stderr is not None
         line = next(line for line in process.stderr if "listening on" in line)
@@ -257,46 +278,49 @@
 
 
 def rtsp(before: Path | None) -> list[dict[str, object]]:
-    here = Path(__file__).parent.parent
-    kinds = [("door off", here, False), ("door on", here, True)]
+    """Returns rows on set-ups over RTSP, also of an earlier version in the folder `before`, if given."""
+    root = Path(__file__).parent.parent
+    versions = [("door off", root, False), ("door on", root, True)]
     if before is not None:
-        kinds.insert(0, ("before", before, False))
-    seen: dict[str, list[tuple[float, float]]] = {}
-    for _ in range(3):  # in turns, so that a busy machine is busy for all
-        for kind, folder, door in kinds:
-            seen.setdefault(kind, []).append(measure_set_up_rate(folder, door))
+        versions.insert(0, ("before", before, False))
+    results: dict[str, list[tuple[float, float]]] = {}
+    for _ in range(3):  # by turns, so that other load on the machine affects all versions
+        for version, folder, door in versions:
+            results.setdefault(version, []).append(measure_set_up_rate(folder, door))
     return [
         {
-            "version": kind,
-            "set-ups a second, best of 3": max(x for x, _ in all_),
-            "a second of the router's processor, median": sorted(x for _, x in all_)[1],
+            "version": version,
+            "set-ups a second, best of 3": max(x for x, _ in rates),
+            "a second of the router's processor, median": sorted(x for _, x in rates)[1],
         }
-        for kind, all_ in seen.items()
+        for version, rates in results.items()
     ]
 
 
 def main() -> None:
+    """Writes all tables."""
     before = Path(sys.argv[sys.argv.index("--before") + 1]) if "--before" in sys.argv else None
     write_results(
         "door",
-        "The door, off and on",
+        "Admission, off and on",
         [
             (
                 "Two clients, 5 and 50 sessions a second (a fifth of them "
-                "checks), room for about 20, 60 s; viewers "
-                "come back as told until 90 s have passed.  `off` tells 1 s at most, as set.",
+                "checks), capacity for about 20, 60 s; viewers "
+                "return after the time that they were sent until "
+                "90 s have passed.  `off` sends at most 1 s, as set.",
                 shares(),
             ),
             (
                 "Waits by class: two clients, each 10 checks and 10 practice "
-                "calls a second, room for about 20.",
+                "calls a second, capacity for about 20.",
                 classes(),
             ),
             ("Memory after fake clients, each with an address, id and title of its own.", memory()),
             (
-                "Set-ups a second over RTSP: eight viewers in a closed loop, room for all; "
-                "viewers and boxes are Python threads, so the router's own "
-                "processor time tells more than the pace.",
+                "Set-ups a second over RTSP: eight viewers in a closed loop, capacity for all; "
+                "viewers and media servers are Python threads, so the router's own "
+                "processor time is more meaningful than the rate.",
                 rtsp(before),
             ),
         ],
--- a/benchmarks/door_orders.py
+++ b/benchmarks/door_orders.py
@@ -1,10 +1,10 @@
-"""Which order shares out best: four of them on the same traces, on one pool of equal places.
+"""Compares four scheduling orders of the admission queue on the same traces, with one pool of equal places.
 
     python -m benchmarks.door_orders
 
-Requests wait up to 4 s.  `got` is the place-time that a client held over what max-min fairness over its
-demand gives it; `passed over` counts requests of a client under its part that gave up while one over its
-part was let in.
+Requests wait up to 4 s.  `got` is the place-time that a client held, relative to its max-min fair share for
+its demand; `passed over` counts requests that gave up while their client was below its share and another
+client was above its own.
 """
 
 from __future__ import annotations
@@ -22,12 +22,14 @@
 
 @dataclass
 class Queue:
+    """Waiting requests and the active sessions of one client, with the state of all four orders."""
+
     name: str
     weight: float
     per_s: float
     mean_s: float
-    active_s: float = SPAN_S  # it asks for so long, then is idle for as long
-    waiting: deque[tuple[float, float]] = field(default_factory=deque)  # (moment, length)
+    active_s: float = SPAN_S  # requests arrive for this time, then none for as long
+    waiting: deque[tuple[float, float]] = field(default_factory=deque)  # (arrival, length), both in seconds
     active: int = 0
     deficit: float = 0.0
     tag: float = 0.0
@@ -36,14 +38,15 @@
 
 
 def choose_queue(order: str, queues: list[Queue], turn: list[int], virtual: float) -> Queue:
-    able = [x for x in queues if x.waiting]
+    """Returns the queue whose first request is admitted next; at least one queue has a request."""
+    candidates = [x for x in queues if x.waiting]
     match order:
         case "least holding":
-            return min(able, key=lambda x: (x.active / x.weight, x.waiting[0][0]))
-        case "virtual time":  # start-time fair queueing, charged by the length held
-            return min(able, key=lambda x: (max(x.tag, virtual), x.waiting[0][0]))
-        case "stride":  # a pass for each let in, strides by weight, lengths unknown
-            return min(able, key=lambda x: (x.tag, x.waiting[0][0]))
+            return min(candidates, key=lambda x: (x.active / x.weight, x.waiting[0][0]))
+        case "virtual time":  # start-time fair queueing, charged by session length
+            return min(candidates, key=lambda x: (max(x.tag, virtual), x.waiting[0][0]))
+        case "stride":  # one pass per admission, strides by weight, lengths unknown
+            return min(candidates, key=lambda x: (x.tag, x.waiting[0][0]))
         case _:  # deficit round robin on admissions
             while True:
                 queue = queues[turn[0] % len(queues)]
@@ -56,6 +59,7 @@
 
 
 def simulate(order: str, queues: list[Queue], seed: int) -> int:
+    """Plays a trace, leaves its results in the queues and returns how many requests were passed over."""
     events: list[tuple[float, int, int, float]] = []
     rng, turn, virtual, free, passed = random.Random(seed), [0], 0.0, PLACES, 0
     for at, queue in enumerate(queues):
@@ -66,24 +70,24 @@
                 length = rng.lognormvariate(0, 0.5) * queue.mean_s / 1.133
                 heapq.heappush(events, (now, 0, at, length))
     while events:
-        now, what, at, length = heapq.heappop(events)
+        now, kind, at, length = heapq.heappop(events)
         if now > SPAN_S:
             break
-        if what == 0:
+        if kind == 0:
             if not queues[at].waiting and order == "stride":
                 queues[at].tag = max([queues[at].tag, *(x.tag for x in queues if x.waiting)][:2])
             queues[at].waiting.append((now, length))
         else:
             queues[at].active -= 1
             free += 1
-        level = sum(x.weight for x in queues if x.waiting or x.active)
+        total_weight = sum(x.weight for x in queues if x.waiting or x.active)
         for queue in queues:
             while queue.waiting and now - queue.waiting[0][0] > WAIT_S:
                 queue.waiting.popleft()
                 queue.gave_up += 1
-                due = PLACES * queue.weight / level
-                over = any(x.active > PLACES * x.weight / level + 1 for x in queues if x is not queue)
-                passed += queue.active < due - 1 and over
+                fair_share = PLACES * queue.weight / total_weight
+                over = any(x.active > PLACES * x.weight / total_weight + 1 for x in queues if x is not queue)
+                passed += queue.active < fair_share - 1 and over
         while free and any(x.waiting for x in queues):
             queue = choose_queue(order, queues, turn, virtual)
             _, length = queue.waiting.popleft()
@@ -106,11 +110,13 @@
 
 
 def main() -> None:
+    """Writes the table of all orders on all traces."""
     rows: list[dict[str, object]] = []
-    for trace, told in TRACES.items():
+    for trace, clients in TRACES.items():
         for order in ("deficit round robin", "virtual time", "stride", "least holding"):
             queues = [
-                Queue(name, float(w), float(rate), float(mean), float(on)) for name, w, rate, mean, on in told
+                Queue(name, float(w), float(rate), float(mean), float(on))
+                for name, w, rate, mean, on in clients
             ]
             passed = simulate(order, queues, 1)
             due = max_min(PLACES, [x.per_s * x.mean_s for x in queues], [x.weight for x in queues])
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,9 +1,9 @@
-"""Membership measured: on real processes behind the lab's hub, and in virtual time where there are too many.
+"""Measures membership: with real processes behind the lab's hub, and in virtual time for larger numbers.
 
     python -m benchmarks.members [kills | heal | cost | setups | soak [MINUTES]] ...
 
-Without a part all are run (45 minutes, most of them the soak); with parts, the others keep their last
-figures, which docs/results/members.json holds.
+Without arguments all parts run (45 minutes, mostly the soak); otherwise the parts that are not named keep
+their last figures, which docs/results/members.json holds.
 """
 
 from __future__ import annotations
@@ -36,12 +36,14 @@
 DETECTION_LIMIT_MS = 3500.0
 
 
-def percentile(values: list[float], part: float) -> float:
+def percentile(values: list[float], fraction: float) -> float:
+    """Returns the value below which a fraction of the values lies."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def summary(values: list[float]) -> dict[str, object]:
+    """Returns the count, percentiles and maximum of times in ms."""
     return {
         "n": len(values),
         "p50 ms": round(percentile(values, 0.5)),
@@ -51,38 +53,41 @@
 
 
 def kills() -> Rows:
-    """From SIGKILL until the last of the others has told that the router is out."""
-    draw, known, back, seen = random.Random(7), [], [], 0
+    """Measures the time from SIGKILL until the last of the others has reported the router as removed."""
+    rng, detection_ms, return_ms, broken = random.Random(7), [], [], 0
     with tempfile.TemporaryDirectory() as name, rig(Path(name), MEMBERS, program=OPTIMIZED) as made:
         for _ in range(KILLS):
-            victim = made[draw.randrange(MEMBERS)]
-            made.record.pause(draw.random())
-            at = made.record.now()
+            victim = made[rng.randrange(MEMBERS)]
+            made.record.pause(rng.random())
+            start_ms = made.record.now()
             victim.signal(9)
             others = [x for x in made.routers if x is not victim]
             made.until_agreed(others, 30.0)
-            told = [
+            removed_ms = [
                 x.ms
-                for x in made.record.of("changed", since_ms=at)
+                for x in made.record.of("changed", since_ms=start_ms)
                 if x.told["name"] == victim.name and x.told["to"] == "dead"
             ]
-            known.append(max(told) - at)
+            detection_ms.append(max(removed_ms) - start_ms)
             victim.until_ended()
             victim.start()
-            at = made.record.now()
+            start_ms = made.record.now()
             victim.until_started()
             made.until_agreed(seconds=30.0)
-            back.append(made.record.now() - at)
-        seen = len(checks.all_of(made.record, DETECTION_LIMIT_MS))
+            return_ms.append(made.record.now() - start_ms)
+        broken = len(checks.all_of(made.record, DETECTION_LIMIT_MS))
     return [
-        {"what": f"killed, one of {MEMBERS}: until all others know", **summary(known)},
-        {"what": "started again: until all hold one view (with the program's start)", **summary(back)},
-        {"what": "broken promises in the record", "n": seen, "p50 ms": "", "p99 ms": "", "most ms": ""},
+        {"what": f"killed, one of {MEMBERS}: until all others know", **summary(detection_ms)},
+        {"what": "started again: until all hold one view (with the program's start)", **summary(return_ms)},
+        {"what": "broken promises in the record", "n": broken, "p50 ms": "", "p99 ms": "", "most ms": ""},
     ]
 
 
 def heal() -> Rows:
-    """From the heal of a cut until all hold one view that stays; the cut lasts until both sides settled."""
+    """Measures the time from the end of a partition until all have the same, final view.
+
+    A partition lasts until both sides have settled.
+    """
     rows: Rows = []
     with tempfile.TemporaryDirectory() as name, rig(Path(name), 5, program=OPTIMIZED) as made:
         cuts: dict[str, tuple[list[int], list[int], bool]] = {
@@ -91,24 +96,28 @@
             "one is heard by nobody": ([0], [1, 2, 3, 4], False),
             "one hears nobody": ([1, 2, 3, 4], [0], False),
         }
-        for what, (some, others, both) in cuts.items():
-            took = []
+        for cut, (some, others, both) in cuts.items():
+            durations_ms = []
             for _ in range(HEALS):
                 made.hub.cut([f"r{x}" for x in some], [f"r{x}" for x in others], both)
                 larger = max(some, others, key=len)
                 made.until_agreed([made[x] for x in larger], 30.0)
-                made.record.pause(2.0)  # the smaller side settles too, or learns that it is out
-                at = made.record.now()
+                made.record.pause(2.0)  # until the smaller side has settled too, or learned of its removal
+                healed_ms = made.record.now()
                 made.hub.heal()
                 made.until_agreed(seconds=30.0)
                 made.record.pause(2.0)
                 assert made.agreed(made.routers)
-                took.append(max((x.ms for x in made.record.of("changed", since_ms=at)), default=at) - at)
-            rows.append({"cut": what, **summary(took)})
+                durations_ms.append(
+                    max((x.ms for x in made.record.of("changed", since_ms=healed_ms)), default=healed_ms)
+                    - healed_ms
+                )
+            rows.append({"cut": cut, **summary(durations_ms)})
     return rows
 
 
 def resident_mb(process: int) -> float:
+    """Returns the resident memory of a process in MB; raises ValueError if it has none."""
     for line in Path(f"/proc/{process}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024.0
@@ -116,7 +125,7 @@
 
 
 def memory_without_members_mb(folder: Path) -> float:
-    """A router without members, settled."""
+    """Returns the resident memory of a router without membership, once it follows the change log."""
     log = ChangeLog()
     program = Program(folder, [], log)
     try:
@@ -128,7 +137,7 @@
 
 
 def cost_without_members(seconds: float = 20.0) -> Rows:
-    """The processor that a router takes without members, to be taken off the others' figures."""
+    """Measures the processor time of a router without membership, as the baseline of the other rows."""
     with tempfile.TemporaryDirectory() as name:
         log = ChangeLog()
         program = Program(Path(name), [], log)
@@ -150,6 +159,7 @@
 
 
 def cost(seconds: float = 20.0) -> Rows:
+    """Measures the traffic, processor time and memory of idle members, by their number."""
     rows = cost_without_members(seconds)
     for count in (3, 16):
         with tempfile.TemporaryDirectory() as name:
@@ -193,18 +203,21 @@
 def run_closed_loop(
     where: tuple[str, int], process: int, seconds: float, lines: int = 6
 ) -> tuple[int, float, list[float]]:
-    """Viewers in a closed loop: set-ups, the processor's time that the router took for them, ms of each."""
-    took: list[float] = []
+    """Runs viewers in a closed loop, each with a connection of its own.
+
+    Returns the number of set-ups, the router's processor time for them in seconds, and the ms of each.
+    """
+    durations_ms: list[float] = []
     until, before = time.monotonic() + seconds, cpu_time_s(process)
 
     def viewer(at: int) -> None:
         wire, count = Wire(socket.create_connection(where, 10.0)), 0
         while time.monotonic() < until:
             count += 1
-            begun = time.monotonic()
+            started = time.monotonic()
             session = ask(wire, at << 32 | count)
             served = answer(wire).status == 200
-            took.append((time.monotonic() - begun) * 1000.0)
+            durations_ms.append((time.monotonic() - started) * 1000.0)
             assert served
             wire.send("TEARDOWN rtsp://media/x RTSP/1.0", session, 2)
             answer(wire)
@@ -215,17 +228,18 @@
         thread.start()
     for thread in threads:
         thread.join()
-    return len(took), cpu_time_s(process) - before, took
+    return len(durations_ms), cpu_time_s(process) - before, durations_ms
 
 
 PAIRS, TURNS, TURN_S, MAX_PARALLEL_PAIRS = 12, 4, 1.0, 2
 
 
 def measure_pair(kind: str, at: int) -> list[tuple[float, float, float]]:
-    """Set-ups a second, a second of the processor, and p99, of one router without members and of its rival.
+    """Returns set-ups a second, set-ups a second of processor time and p99 of a router and of a second one.
 
-    The two take turns, ABBA, so that what the machine does meanwhile meets both.  The rival is one of five
-    with members, or, for the spread of like processes, another without.
+    The first router has no membership.  The second is one of five members, or another one without membership,
+    which shows how much equal processes differ.  They take turns in the order ABBA, so that other load on the
+    machine affects both alike.
     """
     pumps = [[Quick(f"{letter}-{at:04x}{n:04x}", n) for n in range(2)] for letter in "st"]
     with (
@@ -268,7 +282,7 @@
 
 
 def setups(pairs: int = PAIRS) -> Rows:
-    """Pairs of fresh processes, as two like ones differ by what the memory's layout gives each."""
+    """Compares pairs of fresh processes: even equal processes differ, by their memory layout."""
     tasks = [(kind, at) for at in range(pairs) for kind in ("with members", "without")]
     with ProcessPoolExecutor(MAX_PARALLEL_PAIRS, mp_context=get_context("spawn")) as lanes:
         told = list(lanes.map(measure_pair, *zip(*tasks, strict=True)))
@@ -294,7 +308,7 @@
 
 
 def soak(minutes: float) -> Rows:
-    """Sixteen processes, a fifth of datagrams lost, random pauses of up to 2 s, busy loops on all cores."""
+    """Counts false removals among 16 processes: 20% loss, random pauses of up to 2 s, all cores busy."""
     with tempfile.TemporaryDirectory() as name, rig(Path(name), MEMBERS, program=OPTIMIZED) as made:
         made.hub.every(loss=0.2)
         made.starve(len(os.sched_getaffinity(0)))
@@ -338,6 +352,7 @@
 
 
 def main() -> None:
+    """Runs the parts that the command line names, and writes all tables."""
     path = RESULTS / "members.json"
     held: dict[str, Rows] = json.loads(path.read_text()) if path.exists() else {}
     words = sys.argv[1:]
--- a/benchmarks/members_ways.py
+++ b/benchmarks/members_ways.py
@@ -1,11 +1,12 @@
-"""Ways of failure detection weighed on the same seeds in virtual time, from published descriptions alone.
+"""Compares failure detectors with the same seeds in virtual time, modelled on their published descriptions.
 
     python -m benchmarks.members_ways
 
 SWIM (Das, Gupta, Motivala 2002) with suspicion and indirect probes; the same with Lifeguard's local health
-(Dadgar, Phillips, Currey 2018); phi-accrual over all-to-all heartbeats (Hayashibara and others 2004); a
-multi-observer cut as Rapid has it (Suresh and others 2018), with its consensus on the next view; and what
-members/ does.  All ask every 400 ms.  The models carry no facts and no bytes: messages are counted.
+(Dadgar, Phillips, Currey 2018); phi-accrual over all-to-all heartbeats (Hayashibara and others 2004); the
+multi-observer cut detection of Rapid (Suresh and others 2018), with its consensus on the next view; and the
+protocol of members/.  All probe every 400 ms.  The models carry no application data and no encoded messages:
+messages are counted.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class Node:
-    """One member of a model: all start knowing all."""
+    """One member of a model; at the start each member knows all others."""
 
     def __init__(self, model: Model, number: int) -> None:
         self.model, self.number = model, number
@@ -35,8 +36,8 @@
         self.process = model.net.processes[self.address] = Process(self.address)
         self.random = random.Random(model.seed * 1000 + number)
         self.incarnation = 0
-        self.removed: set[int] = set()  # those that it holds for dead
-        self.send_counts: dict[tuple[str, int, int], int] = {}  # news, and how often they were passed on
+        self.removed: set[int] = set()  # members that it considers dead
+        self.send_counts: dict[tuple[str, int, int], int] = {}  # updates, and how often each was sent
         self.seen: set[tuple[str, int, int]] = set()
         model.net.timer(self.process, self.random.random() * PERIOD_MS, self.tick)
 
@@ -47,34 +48,34 @@
     def others(self) -> list[int]:
         return [x for x in self.model.numbers if x != self.number and x not in self.removed]
 
-    def send(self, to: int, call: Callable[..., None], *told: Any) -> None:
-        """`call` is a method of the class; news ride along."""
-        other, news = self.model.nodes[to], self.next_updates()
+    def send(self, to: int, call: Callable[..., None], *arguments: Any) -> None:
+        """Calls a method of the class at another member, which first receives some updates."""
+        other, updates = self.model.nodes[to], self.next_updates()
 
         def arrive() -> None:
-            for one in news:
-                other.receive_update(one)
-            call(other, *told)
+            for update in updates:
+                other.receive_update(update)
+            call(other, *arguments)
 
-        self.model.net.send(self.address, other.address, 60 + 12 * len(news), arrive)
+        self.model.net.send(self.address, other.address, 60 + 12 * len(updates), arrive)
 
     def next_updates(self) -> list[tuple[str, int, int]]:
-        most = 3 * max(1, len(self.model.numbers).bit_length())
+        max_sends = 3 * max(1, len(self.model.numbers).bit_length())
         chosen = sorted(self.send_counts, key=lambda x: self.send_counts[x])[:8]
-        for one in chosen:
-            self.send_counts[one] += 1
-            if self.send_counts[one] >= most:
-                del self.send_counts[one]
+        for update in chosen:
+            self.send_counts[update] += 1
+            if self.send_counts[update] >= max_sends:
+                del self.send_counts[update]
         return chosen
 
     def announce(self, what: str, about: int, incarnation: int) -> None:
         self.receive_update((what, about, incarnation))
 
-    def receive_update(self, news: tuple[str, int, int]) -> None:
-        if news not in self.seen:
-            self.seen.add(news)
-            self.send_counts[news] = 0
-            self.learn(*news)
+    def receive_update(self, update: tuple[str, int, int]) -> None:
+        if update not in self.seen:
+            self.seen.add(update)
+            self.send_counts[update] = 0
+            self.learn(*update)
 
     def learn(self, what: str, about: int, incarnation: int) -> None:
         raise NotImplementedError
@@ -94,14 +95,14 @@
 
 
 class Swim(Node):
-    """Round-robin probes, three helpers, suspicion for 4 log10(n) periods; refuted by an incarnation."""
+    """SWIM: round-robin probes, 3 helpers, suspicion for 4 log10(n) periods, refuted by an incarnation."""
 
     def __init__(self, model: Model, number: int) -> None:
         super().__init__(model, number)
         self.order: list[int] = []
-        self.waiting: dict[int, float] = {}  # who was asked, and when
+        self.waiting: dict[int, float] = {}  # probed members, and when
         self.suspects: dict[int, tuple[int, float, set[int]]] = {}
-        self.incarnations: dict[int, int] = {}  # the highest incarnation heard of each
+        self.incarnations: dict[int, int] = {}  # the highest known incarnation of each member
         self.health = 0
 
     @property
@@ -169,7 +170,7 @@
                 self.announce("alive", self.number, self.incarnation)
                 self.accused()
         elif what != "alive" and incarnation < self.incarnations.get(about, 0):
-            return  # it has been refuted
+            return  # already refuted
         elif what == "suspect" and about not in self.removed:
             self.suspects.setdefault(about, (incarnation, self.now, set()))[2].add(incarnation)
         elif what == "dead":
@@ -185,7 +186,7 @@
 
 
 class Lifeguard(Swim):
-    """Local health stretches its own times up to ninefold; suspicion begins six times as long."""
+    """Lifeguard: local health stretches a member's periods up to ninefold; suspicion starts sixfold."""
 
     @property
     def slow(self) -> float:
@@ -202,13 +203,13 @@
         self.health = min(8, self.health + 1)
 
     def patience(self, confirmations: int) -> float:
-        least = super().suspicion_timeout_ms(0)
-        most = 6.0 * least
-        return max(least, most - (most - least) * math.log(confirmations + 1) / math.log(4))
+        shortest = super().suspicion_timeout_ms(0)
+        longest = 6.0 * shortest
+        return max(shortest, longest - (longest - shortest) * math.log(confirmations + 1) / math.log(4))
 
 
 class Phi(Node):
-    """Each hears each: a heartbeat every period, out when phi passes 8; each one decides by itself."""
+    """Phi accrual: all-to-all heartbeats, removal when phi exceeds 8; each member decides by itself."""
 
     def __init__(self, model: Model, number: int) -> None:
         super().__init__(model, number)
@@ -221,7 +222,7 @@
             if number != self.number:
                 self.send(number, Phi.beat, self.number)
         for number, last in self.last.items():
-            if self.now - last < 560.0:  # phi 8 is 5.6 spreads past the mean, and a spread is 100 ms at least
+            if self.now - last < 560.0:  # phi 8 is 5.6 deviations past the mean, a deviation at least 100 ms
                 continue
             gaps = self.gaps[number]
             mean = sum(gaps) / len(gaps) if gaps else PERIOD_MS
@@ -241,7 +242,7 @@
 
 
 class MultiObserverCut(Node):
-    """Ten observers; an alert after four of ten questions missed; nine alerts and a 3/4 quorum remove."""
+    """Rapid: ten observers, an alert after four of ten missed probes; nine alerts and a 3/4 quorum remove."""
 
     OBSERVERS, HIGH, QUORUM = 10, 0.9, 0.75
 
@@ -281,8 +282,8 @@
             self.alerts.setdefault(about, set()).add(by)
             observers = {int(x) for x in self.pair(about)[1]}
             # An observer that is itself under alert counts as alerting (the paper's implicit alerts).
-            heard = {x for x in observers if x in self.alerts[about] or self.alerts.get(x)}
-            if observers and len(heard & observers) >= self.HIGH * len(observers):
+            alerting = {x for x in observers if x in self.alerts[about] or self.alerts.get(x)}
+            if observers and len(alerting & observers) >= self.HIGH * len(observers):
                 self.announce("vote", about, self.number)
         elif what == "vote":
             self.votes.setdefault(about, set()).add(by)
@@ -291,6 +292,8 @@
 
 
 class Model:
+    """Members of one kind on a simulated network, and the removals and returns that they decided."""
+
     def __init__(self, kind: type[Node], count: int, seed: int) -> None:
         self.net, self.seed = Network(seed), seed
         self.numbers = list(range(count))
@@ -315,7 +318,7 @@
 
 
 class Cloverhinge:
-    """The real core under the same acts."""
+    """The membership core of this project, with the operations of `Model`."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.world = World(count, seed)
@@ -357,13 +360,11 @@
 }
 
 
-DETECTION_LIMIT_MS = (
-    40_000.0  # given for all to know of a kill; after it the way counts as one that never tells all
-)
+DETECTION_LIMIT_MS = 40_000.0  # limit for all to detect a kill; later it counts as never
 
 
 def measure_detection(way: str, count: int, seed: int) -> tuple[float, float]:
-    """Messages a member a second when nothing happens, and the time until all know of a kill (nan: never)."""
+    """Returns messages a member a second when idle, and the ms until all know of a kill (nan: never)."""
     calm = WAYS[way](count, seed)
     calm.net.run(2000.0)
     before = calm.net.messages
@@ -380,7 +381,7 @@
 
 
 def measure_wrong_removals(way: str, count: int, seed: int, span: float) -> float:
-    """Members held for dead a minute that were not, under losses and pauses; once in 5 s for each."""
+    """Returns false removals a minute under losses and pauses, counting each member once in 5 s."""
     rough = WAYS[way](count, seed + 100)
     rough.net.usual = Way(loss=0.2)
     draw = random.Random(seed)
@@ -395,7 +396,7 @@
 
 
 def measure_one_sided_cut(way: str, count: int, seed: int, span: float) -> tuple[float, float]:
-    """Removals and returns, and views at the end, when A's messages to B alone are cut."""
+    """Returns removals and returns, and views at the end, when only A's messages to B are lost."""
     sided = WAYS[way](count, seed + 200)
     sided.net.run(3000.0)
     sided.cut(0, 1)
@@ -424,6 +425,7 @@
 
 
 def main() -> None:
+    """Runs all detectors, in parallel processes, and writes the table."""
     tasks: list[Task] = [
         (what, way, count, seed)
         for count in sorted(SPANS, reverse=True)
@@ -431,7 +433,7 @@
         for what in ("detect", "wrong", "sided")
         for seed in range(1, SEEDS[count] + 1)
     ]
-    tasks.sort(key=lambda x: (-x[2], x[1] != "all-to-all, phi 8"))  # the longest first
+    tasks.sort(key=lambda x: (-x[2], x[1] != "all-to-all, phi 8"))  # the longest tasks first
     with ProcessPoolExecutor() as pool:
         seen = dict(zip(tasks, pool.map(run_task, tasks), strict=True))
     rows: Rows = []
@@ -459,7 +461,7 @@
             )
     write_results(
         "members_ways",
-        "Ways of membership weighed",
+        "Comparison of failure detectors",
         [
             (
                 "The same seeds in virtual time: a kill, with up to 40 s for "
--- a/benchmarks/operation_days.py
+++ b/benchmarks/operation_days.py
@@ -1,7 +1,10 @@
-"""The days of operation as the journal has them: `python -m benchmarks.operation_days [SINCE]`.
+"""Summarizes the days of operation that the journal holds.
 
-Reads the snapshots that the operators' bench left in `journal/`, plays nothing.  SINCE is a moment as the
-journal writes it (2026-12-02T02:00:00Z); plays before it make the first table, later ones the second.
+    python -m benchmarks.operation_days [SINCE]
+
+Reads the snapshots that the operators' bench left in `journal/` and plays nothing itself.  SINCE is a time as
+the journal writes it (2026-12-02T02:00:00Z).  The first table summarizes the plays from SINCE on by day; the
+second lists all plays.
 """
 
 from __future__ import annotations
@@ -14,7 +17,7 @@
 from benchmarks.tables import write_results
 
 JOURNAL = Path(__file__).parent.parent / "journal"
-WEIGHTS = {  # as the page of the days of operation gives them
+WEIGHTS = {  # as given by the operators' description of the days
     "upgrade": 2,
     "pieces+silent+leave": 2,
     "hand": 2,
@@ -26,36 +29,38 @@
 
 
 def plays() -> list[dict[str, object]]:
+    """Returns a row for each valid play in the journal, in order of time."""
     rows = []
     for path in JOURNAL.glob("*.json"):
-        told = json.loads(path.read_text(errors="replace"))
-        if not isinstance(told.get("days"), list) or not told.get("at"):
+        snapshot = json.loads(path.read_text(errors="replace"))
+        if not isinstance(snapshot.get("days"), list) or not snapshot.get("at"):
             continue
-        for day in told["days"]:
+        for day in snapshot["days"]:
             if day.get("name") in WEIGHTS and day.get("G_top") is not None and day.get("sound", True):
                 rules = day.get("rules") or {}
                 broken = ", ".join(x for x in RULES if rules.get(x)) or ("fault" if day.get("fault") else "")
                 rows.append(
                     {
-                        "at": told["at"][0],
+                        "at": snapshot["at"][0],
                         "day": day["name"],
                         "seed": str(day.get("seed", "")),
                         "G": day["G"],
                         "top": day["G_top"],
                         "score": day["score"] or 0.0,
                         "broken": broken,
-                        "version": told["head"][:8] + ("+" if told["dirty"] else ""),
+                        "version": snapshot["head"][:8] + ("+" if snapshot["dirty"] else ""),
                     }
                 )
     return sorted(rows, key=lambda row: str(row["at"]))
 
 
 def summarize_by_day(rows: list[dict[str, object]]) -> list[dict[str, object]]:
-    found = []
+    """Returns the number of plays and their mean, lowest and highest score for each day that was played."""
+    summaries = []
     for name, weight in WEIGHTS.items():
         scores = [float(str(row["score"])) for row in rows if row["day"] == name]
         if scores:
-            found.append(
+            summaries.append(
                 {
                     "day": name,
                     "weight": weight,
@@ -65,10 +70,11 @@
                     "highest": max(scores),
                 }
             )
-    return found
+    return summaries
 
 
 def main() -> None:
+    """Writes both tables."""
     since, rows = sys.argv[1] if len(sys.argv) > 1 else "", plays()
     later = [row for row in rows if str(row["at"]) >= since]
     write_results(
@@ -76,11 +82,11 @@
         "The days of operation",
         [
             (
-                f"By day, plays since {since or 'the first'}; a broken rule counts as 0.",
+                f"Plays since {since or 'the first'}, by day; a play that broke a rule scores 0.",
                 summarize_by_day(later),
             ),
             (
-                "Each play, all versions; `+`: with changes that were not committed; `broken`: the rules.",
+                "All plays of all versions; `+` marks uncommitted changes, `broken` lists the broken rules.",
                 rows,
             ),
         ],
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,11 +1,12 @@
-"""A long life of one router: a million requests in virtual time, and what is held after each tenth.
+"""Runs one router for a million requests in virtual time and samples its memory and table sizes.
 
     python -m benchmarks.soak [REQUESTS]
 
-The real core and module; boxes, viewers and the list are models.  Boxes are drained and replaced by new ones
-with new ids all the time, titles are new every ten minutes, one set-up in a hundred errs, one in a hundred is
-never answered, one session in fifty is cut.  A table that grows with what has passed, rather than with what
-stands, shows in its row.  Each viewer is a new one; what the model itself holds is in the row `model`.
+Core and decision module are the real ones; media servers, viewers and the server list are models.  Media
+servers are continually drained and replaced by new ones with new ids, titles change every ten minutes, one
+set-up in a hundred fails, one in a hundred is never answered, and one session in fifty is cut.  A table that
+grows with the number of past requests instead of the present sessions shows up in its row.  Each viewer is
+new; the row `model` counts the entries of the model itself.
 """
 
 from __future__ import annotations
@@ -22,18 +23,18 @@
 
 REQUESTS, SAMPLES = 1_000_000, 10
 SERVERS, PLACES = 24, 20
-ARRIVALS_PER_S = 40.0  # of newcomers; room is for 48 a second at the floor, so that some are refused
-REPLACE_PERIOD_MS = 20_000.0  # pace at which boxes are replaced
-DRAIN_MS = 15_000.0  # from its drain to its end
+ARRIVALS_PER_S = 40.0  # capacity is 48 a second at the lowest rung, so that some requests are refused
+REPLACE_PERIOD_MS = 20_000.0  # between replacements of a media server
+DRAIN_MS = 15_000.0  # from the start of a media server's drain to its end
 ERROR_SHARE, SILENT_SHARE, CUT_SHARE = 0.01, 0.01, 0.02  # shares of set-ups, and of sessions
 PROBE_MS = 5.0
 
 
 class ChangingWorld(World):
-    """The small site with boxes that come, err, fall silent and go."""
+    """The small site with media servers that are added, fail, stop answering and are removed."""
 
-    def __init__(self, told: api.Settings, crowds: list[Crowd], seed: int) -> None:
-        super().__init__(told, crowds, seed, SERVERS)
+    def __init__(self, fleet_settings: api.Settings, crowds: list[Crowd], seed: int) -> None:
+        super().__init__(fleet_settings, crowds, seed, SERVERS)
         self.router.prober = self
         self.next_server = 10 + SERVERS
         self.deadlines.after(REPLACE_PERIOD_MS, self._replace)
@@ -58,11 +59,12 @@
         self.router.update_fleet(api.ListKind.DELTA, (listing,))
 
     def set_up(self, attempt: Attempt) -> None:
-        chance = self.random.random()
-        if chance < SILENT_SHARE:
+        """Answers an attempt, answers it with an error or never answers it."""
+        draw = self.random.random()
+        if draw < SILENT_SHARE:
             if self.router.may_write(attempt):
                 return
-        elif chance < SILENT_SHARE + ERROR_SHARE:
+        elif draw < SILENT_SHARE + ERROR_SHARE:
             self.deadlines.after(PROBE_MS, lambda: self._fail(attempt))
             return
         super().set_up(attempt)
@@ -83,6 +85,7 @@
         super()._end_session(request)
 
     def probe(self, server: int) -> None:
+        """Answers a probe after PROBE_MS; a removed media server refuses the connection."""
         self.deadlines.after(PROBE_MS, lambda: self._probed(server))
 
     def _probed(self, server: int) -> None:
@@ -95,13 +98,14 @@
 
 
 def resident_mb() -> float:
+    """Returns this process's resident memory in MB, after a garbage collection."""
     gc.collect()
     with open("/proc/self/status") as file:
         return next(int(line.split()[1]) for line in file if line.startswith("VmRSS")) / 1024.0
 
 
 def table_sizes(site: ChangingWorld) -> dict[str, int]:
-    """Entries of everything that a router holds between two events, by name."""
+    """Returns the number of entries of each table that a router holds between two events."""
     router = site.router
     module, fleet = router.controller, router.controller.fleet
     limits = [limit for server in fleet.servers.values() for limit in (server.link, server.places)]
@@ -132,7 +136,8 @@
 
 
 def main(requests: int) -> None:
-    told = settings(
+    """Writes the table of samples, taken after each tenth of the requests."""
+    fleet_settings = settings(
         SERVERS,
         PLACES,
         racks=4,
@@ -145,43 +150,44 @@
     crowd = Crowd(
         "all", "198.18.0.1", ARRIVALS_PER_S, titles=400, title_lifetime_ms=600_000.0, check_share=0.2
     )
-    site = ChangingWorld(told, [crowd], seed=1)
-    points: list[dict[str, Any]] = []
-    while len(points) < SAMPLES:
+    site = ChangingWorld(fleet_settings, [crowd], seed=1)
+    samples: list[dict[str, Any]] = []
+    while len(samples) < SAMPLES:
         site.run(LOAD_REPORT_PERIOD_MS)
-        crowd.tally.waits_ms.clear()  # of the model, one for each that was served
+        crowd.tally.waits_ms.clear()  # they grow by an entry for each viewer that the model serves
         crowd.tally.served_ms.clear()
-        if site.router.counters.taken * SAMPLES >= requests * (len(points) + 1):
-            counted = site.router.counters
-            points.append(
+        if site.router.counters.taken * SAMPLES >= requests * (len(samples) + 1):
+            counters = site.router.counters
+            samples.append(
                 {
-                    "requests": counted.taken,
-                    "served": counted.served,
-                    "refused": counted.refused,
-                    "failed": counted.failed,
-                    "cut": counted.cut,
+                    "requests": counters.taken,
+                    "served": counters.served,
+                    "refused": counters.refused,
+                    "failed": counters.failed,
+                    "cut": counters.cut,
                     "boxes so far": site.next_server - 10,
                     "hours": (site.clock.now() - site.start_ms) / 3.6e6,
                     "resident MB": round(resident_mb(), 2),
                 }
                 | table_sizes(site)
             )
-            print(f"{counted.taken} requests, {points[-1]['resident MB']} MB", flush=True)
+            print(f"{counters.taken} requests, {samples[-1]['resident MB']} MB", flush=True)
     rows: list[dict[str, Any]] = [
-        {"what": name} | {str(at): point[name] for at, point in enumerate(points, 1)} for name in points[0]
+        {"what": name} | {str(at): sample[name] for at, sample in enumerate(samples, 1)}
+        for name in samples[0]
     ]
-    half = points[SAMPLES // 2 - 1]
-    grown = [name for name in table_sizes(site) if points[-1][name] > 1.5 * max(half[name], 50)]
+    half = samples[SAMPLES // 2 - 1]
+    grown = [name for name in table_sizes(site) if samples[-1][name] > 1.5 * max(half[name], 50)]
     write_results(
         "soak",
         "A long life of one router",
         [
             (
-                f"{requests:,} requests in virtual time, {SAMPLES} points.  "
+                f"{requests:,} requests in virtual time, {SAMPLES} samples.  "
                 f"Over its second half the resident memory "
                 f"changed by "
-                f"{points[-1]['resident MB'] - half['resident MB']:+.2f} MB; tables that grew by more "
-                f"than half in it: {', '.join(grown) or 'none'}.",
+                f"{samples[-1]['resident MB'] - half['resident MB']:+.2f} MB; tables that grew by more "
+                f"than half in that time: {', '.join(grown) or 'none'}.",
                 rows,
             )
         ],
--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -1,4 +1,4 @@
-"""Results as a table, kept twice: CSV for programs, Markdown for people."""
+"""Writes results as tables, both as CSV for programs and as Markdown for readers."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 
 def format_value(value: object) -> str:
+    """Formats a cell: a float has three significant digits below 100 and no fraction from there on."""
     return (
         f"{value:.3g}"
         if isinstance(value, float) and abs(value) < 100
@@ -17,20 +18,24 @@
 
 
 def markdown_table(rows: list[dict[str, object]]) -> str:
-    heads = list(rows[0])
-    lines = [heads, ["---"] * len(heads), *([format_value(row[x]) for x in heads] for row in rows)]
+    """Formats rows as a Markdown table; the keys of the first row are its columns."""
+    columns = list(rows[0])
+    lines = [columns, ["---"] * len(columns), *([format_value(row[x]) for x in columns] for row in rows)]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines) + "\n"
 
 
 def write_results(
     name: str, title: str, sections: list[tuple[str, list[dict[str, object]]]], command: str
 ) -> None:
-    """Writes NAME.md, and NAME-N.csv for the N-th section."""
+    """Writes NAME.md with all sections and NAME-N.csv for the N-th one (from 1), and prints the Markdown.
+
+    A section is a line of text and its rows; `command` is the command that reproduces the results.
+    """
     RESULTS.mkdir(parents=True, exist_ok=True)
     parts = [f"# {title}\n", f"Made by `{command}`; run it again for figures of another machine.\n"]
-    for at, (about, rows) in enumerate(sections, 1):
-        parts += [f"{about}\n", markdown_table(rows)]
-        with (RESULTS / f"{name}-{at}.csv").open("w", newline="") as file:
+    for number, (description, rows) in enumerate(sections, 1):
+        parts += [f"{description}\n", markdown_table(rows)]
+        with (RESULTS / f"{name}-{number}.csv").open("w", newline="") as file:
             writer = csv.DictWriter(file, list(rows[0]))
             writer.writeheader()
             writer.writerows(rows)
