--- a/benchmarks/members_ways.py
+++ b/benchmarks/members_ways.py
@@ -189,7 +189,7 @@
     """Lifeguard: local health stretches a member's periods up to ninefold; suspicion starts sixfold."""
 
     @property
-    def slow(self) -> float:
+    def period_factor(self) -> float:
         return 1.0 + self.health
 
     def healthy(self) -> None:
@@ -202,7 +202,7 @@
     def accused(self) -> None:
         self.health = min(8, self.health + 1)
 
-    def patience(self, confirmations: int) -> float:
+    def suspicion_timeout_ms(self, confirmations: int) -> float:
         shortest = super().suspicion_timeout_ms(0)
         longest = 6.0 * shortest
         return max(shortest, longest - (longest - shortest) * math.log(confirmations + 1) / math.log(4))
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -79,7 +79,7 @@
         elif self.router.may_write(attempt):
             self.router.attempt_ended(attempt, Outcome.RESET)
 
-    def _ends(self, request: Request) -> None:
+    def _end_session(self, request: Request) -> None:
         if request.state is State.ESTABLISHED and self.random.random() < CUT_SHARE:
             self.router.cut(request)
         super()._end_session(request)
