--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -28,7 +28,7 @@
 BEFORE_S, TITLES = 12.0, 200
 
 
-def site_tables(boxes: list[MediaBox], stores: bool) -> str:
+def site_tables(servers: list[MediaBox], stores: bool) -> str:
     """Returns the tables of the routers' site files."""
     store = ["[store]", 'folder = "{folder}/store"'] if stores else []
     titles = (f"t{n} = {{ copies = 3, length_s = 20 }}" for n in range(TITLES))
@@ -42,7 +42,7 @@
         "idle_s = 120.0",
         "manifest_kb = 64",
         "[hls.boxes]",
-        *(f'{x.name} = "{x.origin}"' for x in boxes),
+        *(f'{x.name} = "{x.origin}"' for x in servers),
         "[hls.titles]",
         *titles,
     ]
@@ -88,12 +88,17 @@
 
 def measure(stores: bool, after_s: float, seed: int = 1) -> Rows:
     """Returns a row for each second before the restart and for `after_s` seconds from it on."""
-    boxes: list[MediaBox] = [Limited(f"s-{n:08x}", n % 3, PLACES, SESSION_S) for n in range(SERVERS)]
+    servers: list[MediaBox] = [Limited(f"s-{n:08x}", n % 3, PLACES, SESSION_S) for n in range(SERVERS)]
     rows: Rows = []
     with (
         tempfile.TemporaryDirectory() as name,
         rig(
-            Path(name), ROUTERS, pumps=boxes, tables=site_tables(boxes, stores), program=OPTIMIZED, seed=seed
+            Path(name),
+            ROUTERS,
+            pumps=servers,
+            tables=site_tables(servers, stores),
+            program=OPTIMIZED,
+            seed=seed,
         ) as made,
     ):
         until_rostered(made)
@@ -102,7 +107,7 @@
 
         def count_sessions(until_s: float) -> None:
             while crowd.now < until_s:
-                counts.setdefault(int(crowd.now), [len(x.sessions) for x in boxes])
+                counts.setdefault(int(crowd.now), [len(x.sessions) for x in servers])
                 made.record.pause(0.1)
 
         count_sessions(BEFORE_S)
--- a/benchmarks/custody.py
+++ b/benchmarks/custody.py
@@ -42,8 +42,8 @@
     return viewers.keeping(folder, 5, titles, 600.0, on, program=OPTIMIZED)
 
 
-def wait_until(made: Rig, what: str, holds: Callable[..., bool]) -> None:
-    made.poll(what, holds, TIMEOUT_S, 0.02)
+def wait_until(made: Rig, description: str, condition: Callable[..., bool]) -> None:
+    made.poll(description, condition, TIMEOUT_S, 0.02)
 
 
 def final_status(made: Rig, router: Router, number: int) -> int:
@@ -56,25 +56,25 @@
     for server in made.boxes:
         for session in list(server.sessions):
             server.end(session)
-    wait_until(made, "all ends are heard", lambda: sum(x.status()["standing"] for x in made.routers) == 0)
+    wait_until(made, "all ends are reported", lambda: sum(x.status()["standing"] for x in made.routers) == 0)
     for server in made.boxes:
         server.ended.clear()
 
 
 def measure_kills(on: bool, kills: int) -> dict[str, object]:
     """Kills a router with ten established paid plays, and fetches the plays at other routers."""
-    draw, number, owned, answers = random.Random(3), 0, [], Counter[int]()
+    rng, number, takeover_ms, answers = random.Random(3), 0, [], Counter[int]()
     with tempfile.TemporaryDirectory() as name, start_rig(Path(name), on) as made:
         for _ in range(kills):
-            victim = made[draw.randrange(5)]
+            victim = made[rng.randrange(5)]
             plays = range(number, number + PLAYS)
             number += PLAYS
-            for one in plays:
-                status = final_status(made, victim, one)
-                assert status == 200, (on, one, status, made.record.tail())
+            for play_number in plays:
+                status = final_status(made, victim, play_number)
+                assert status == 200, (on, play_number, status, made.record.tail())
             others = [x for x in made.routers if x is not victim]
             before = sum(custody_of(x)["taken_over"] for x in others) if on else 0
-            at = made.record.now()
+            killed_ms = made.record.now()
             victim.kill()
             if on:
                 try:
@@ -85,14 +85,20 @@
                         >= before + PLAYS,
                     )
                 except AssertionError as error:
-                    known = [
-                        (one, [console.ask(x.ports["admin"], f"custody play-{one:08d}") for x in others])
-                        for one in plays
+                    states = [
+                        (
+                            play_number,
+                            [
+                                console.ask(x.ports["admin"], f"custody play-{play_number:08d}")
+                                for x in others
+                            ],
+                        )
+                        for play_number in plays
                     ]
-                    raise AssertionError(f"{known}\n{[custody_of(x) for x in others]}\n{error}") from None
-                owned.append(made.record.now() - at)
-            for one in plays:
-                answers[final_status(made, draw.choice(others), one)] += 1
+                    raise AssertionError(f"{states}\n{[custody_of(x) for x in others]}\n{error}") from None
+                takeover_ms.append(made.record.now() - killed_ms)
+            for play_number in plays:
+                answers[final_status(made, rng.choice(others), play_number)] += 1
             victim.start()
             victim.until_started()
             made.until_agreed(seconds=30.0)
@@ -111,7 +117,7 @@
         "set up twice": twice,
         "ended at the boxes": released,
     }
-    times = summary(owned) if owned else {"p50 ms": "", "p99 ms": "", "most ms": ""}
+    times = summary(takeover_ms) if takeover_ms else {"p50 ms": "", "p99 ms": "", "most ms": ""}
     return row | {f"owned again, {k}": v for k, v in times.items() if k != "n"}
 
 
@@ -260,8 +266,8 @@
     def tick(self, times: int = 1) -> None:
         for _ in range(times):
             self.now += core.TICK_MS
-            for who, machine in self.cores.items():
-                self.carry_out(who, machine.tick(self.now))
+            for own_id, machine in self.cores.items():
+                self.carry_out(own_id, machine.tick(self.now))
 
     def add_record(self, number: int, body: bytes) -> None:
         id, owner = f"h/{number:032x}", self.owner
@@ -276,29 +282,29 @@
     rows: Rows = []
     for count in (1000, 10_000, 50_000):
         made, body = CoresInProcess(), b"x" * 120  # about the size of a front's record of a session
-        begun, before = time.process_time(), made.bytes
+        started, before = time.process_time(), made.bytes
         for number in range(count):
             made.add_record(number, body)
             if number % 100 == 0:
                 made.tick()
-        took, size = time.process_time() - begun, made.bytes - before
+        used_s, size = time.process_time() - started, made.bytes - before
         assert len(made.owner.owned) == count
-        begun = time.process_time()
+        started = time.process_time()
         made.tick(80)  # two seconds
-        idle = (time.process_time() - begun) / 2.0 / 3.0
+        idle = (time.process_time() - started) / 2.0 / 3.0
         del made
         tracemalloc.start()
         made = CoresInProcess()
         for number in range(min(count, 10_000)):
             made.add_record(number, body)
-        held = tracemalloc.get_traced_memory()[0] / min(count, 10_000)
+        bytes_held = tracemalloc.get_traced_memory()[0] / min(count, 10_000)
         tracemalloc.stop()
         rows.append(
             {
                 "sessions": count,
-                "bytes held a session, three routers": held,
+                "bytes held a session, three routers": bytes_held,
                 "bytes sent a session": size / count,
-                "us a session, three routers": took / count * 1e6,
+                "us a session, three routers": used_s / count * 1e6,
                 "processor of one router when nothing happens": f"{idle:.2%}",
             }
         )
@@ -307,7 +313,7 @@
 
 def soak(minutes: float) -> Rows:
     """Injects random kills, pauses, partitions and losses while viewers fetch plays at any of the routers."""
-    draw, answers, faults = random.Random(17), Counter[str](), Counter[str]()
+    rng, answers, faults = random.Random(17), Counter[str](), Counter[str]()
     with tempfile.TemporaryDirectory() as name, start_rig(Path(name), True, titles=20_000) as made:
         until_ms, number = made.record.now() + minutes * 60_000.0, 0
         paused: dict[int, float] = {}
@@ -323,31 +329,31 @@
                     made[at].start()
                     made[at].until_started()
                     del dead[at]
-            here = [x for x in range(5) if x not in paused and x not in dead]
-            dice = draw.random()
-            if dice < 0.04 and not dead and len(here) > 3:
-                at = draw.choice(here)
+            running = [x for x in range(5) if x not in paused and x not in dead]
+            roll = rng.random()
+            if roll < 0.04 and not dead and len(running) > 3:
+                at = rng.choice(running)
                 made[at].kill()
-                dead[at] = now + draw.uniform(500.0, 6000.0)
+                dead[at] = now + rng.uniform(500.0, 6000.0)
                 faults["kills"] += 1
-            elif dice < 0.08 and not paused and len(here) > 3:
-                at = draw.choice(here)
+            elif roll < 0.08 and not paused and len(running) > 3:
+                at = rng.choice(running)
                 made[at].pause()
-                paused[at] = now + draw.uniform(100.0, 5000.0)
+                paused[at] = now + rng.uniform(100.0, 5000.0)
                 faults["pauses"] += 1
-            elif dice < 0.10:
-                at = draw.choice(here)
-                made.hub.cut([f"r{at}"], [f"r{x}" for x in range(5) if x != at], both=draw.random() < 0.5)
+            elif roll < 0.10:
+                at = rng.choice(running)
+                made.hub.cut([f"r{at}"], [f"r{x}" for x in range(5) if x != at], both=rng.random() < 0.5)
                 faults["cuts"] += 1
-            elif dice < 0.16:
+            elif roll < 0.16:
                 made.hub.heal()
-                made.hub.every(loss=draw.choice((0.0, 0.0, 0.1, 0.2)))
+                made.hub.every(loss=rng.choice((0.0, 0.0, 0.1, 0.2)))
             else:
-                at = draw.choice(here)
-                again = number > 0 and draw.random() < 0.6
-                one = draw.randrange(max(0, number - 30), number) if again else number
-                number = max(number, one + 1)
-                code, _ = play(made, made[at], one)
+                at = rng.choice(running)
+                again = number > 0 and rng.random() < 0.6
+                play_number = rng.randrange(max(0, number - 30), number) if again else number
+                number = max(number, play_number + 1)
+                code, _ = play(made, made[at], play_number)
                 answers[str(code or "lost")] += 1
         made.hub.heal()
         for at in paused:
@@ -375,7 +381,7 @@
         start_rig(Path(name), True) as made,
         ThreadPoolExecutor(2) as pool,
     ):
-        begun = made.record.now()
+        started_ms = made.record.now()
         for number in range(count):
             at = made[number % 5], made[(number + 1 + number // 5 % 4) % 5]
             answers.update(pool.map(lambda router, number=number: final_status(made, router, number), at))
@@ -388,28 +394,30 @@
                 "answers": 2 * count,
                 "answered 200": answers[200],
                 "set up twice": sum(x > 1 for x in counts.values()),
-                "ms a pair": (made.record.now() - begun) / count,
+                "ms a pair": (made.record.now() - started_ms) / count,
             }
         ]
 
 
 def flood(seconds: float = 60.0) -> Rows:
     """Kills one of five routers every 2 s and restarts it at once, with viewers at all of them."""
-    draw, answers, kills_, number = random.Random(23), Counter[str](), 0, 0
+    rng, answers, kills_, number = random.Random(23), Counter[str](), 0, 0
     with tempfile.TemporaryDirectory() as name, start_rig(Path(name), True, titles=5000) as made:
         until_ms, next_ms = made.record.now() + seconds * 1000.0, made.record.now()
         while (now := made.record.now()) < until_ms:
             if now >= next_ms:
                 next_ms = now + 2000.0
-                victim = made[draw.randrange(5)]
+                victim = made[rng.randrange(5)]
                 if victim.running:
                     victim.kill()
                     victim.start()
                     kills_ += 1
-            there = [x for x in made.routers if x.running and "HLS" in x.ports]
-            one = draw.randrange(max(0, number - 30), number) if number and draw.random() < 0.5 else number
-            number = max(number, one + 1)
-            code, _ = play(made, draw.choice(there), one)
+            serving = [x for x in made.routers if x.running and "HLS" in x.ports]
+            play_number = (
+                rng.randrange(max(0, number - 30), number) if number and rng.random() < 0.5 else number
+            )
+            number = max(number, play_number + 1)
+            code, _ = play(made, rng.choice(serving), play_number)
             answers[str(code or "lost")] += 1
         for router in made.routers:
             router.until_started()
@@ -455,23 +463,23 @@
 def main() -> None:
     """Runs the parts that the command line names, and writes all tables."""
     path = RESULTS / "custody.json"
-    held: dict[str, Rows] = json.loads(path.read_text()) if path.exists() else {}
-    words = sys.argv[1:]
-    number = next((float(x) for x in words if x.replace(".", "").isdigit()), None)
-    for part in [x for x in words if x in PARTS] or list(PARTS):
+    results: dict[str, Rows] = json.loads(path.read_text()) if path.exists() else {}
+    arguments = sys.argv[1:]
+    number = next((float(x) for x in arguments if x.replace(".", "").isdigit()), None)
+    for part in [x for x in arguments if x in PARTS] or list(PARTS):
         call = PARTS[part][1]
         if part == "soak":
-            held[part] = call(number or 30.0)
+            results[part] = call(number or 30.0)
         elif part == "kills":
-            held[part] = call(int(number or 100))
+            results[part] = call(int(number or 100))
         else:
-            held[part] = call()
-        print(part, held[part], flush=True)
-        path.write_text(json.dumps(held, indent=1) + "\n")
+            results[part] = call()
+        print(part, results[part], flush=True)
+        path.write_text(json.dumps(results, indent=1) + "\n")
     write_results(
         "custody",
         "Ownership",
-        [(PARTS[x][0], held[x]) for x in PARTS if x in held],
+        [(PARTS[x][0], results[x]) for x in PARTS if x in results],
         "python -m benchmarks.custody",
     )
 
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -199,7 +199,7 @@
 
 
 def measure_set_up_rate(
-    folder: Path, door: bool, seconds: float = 4.0, lines: int = 8
+    folder: Path, door: bool, seconds: float = 4.0, connections: int = 8
 ) -> tuple[float, float]:
     """Returns set-ups a second, and a second of the router's processor time.
 
@@ -207,7 +207,7 @@
     """
     from cloverhinge.lab.harness import SETTINGS, ChangeLog, Quick, Wire, answer
 
-    pumps, log = [Quick(f"s-{n:08x}", n) for n in range(2)], ChangeLog()
+    servers, log = [Quick(f"s-{n:08x}", n) for n in range(2)], ChangeLog()
     with tempfile.TemporaryDirectory() as name:
         config, site = Path(name) / "config.json", Path(name) / "site.toml"
         config.write_text(
@@ -219,7 +219,7 @@
                     "changelog": log.address,
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
                     "settings": SETTINGS,
-                    "known": {"seq": 1, "results": [log.event([x.row() for x in pumps], full=True)]},
+                    "known": {"seq": 1, "results": [log.event([x.row() for x in servers], full=True)]},
                 }
             )
         )
@@ -243,7 +243,7 @@
         line = next(line for line in process.stderr if "listening on" in line)
         port = int(line.rsplit(":", 1)[1].split(",")[0])
         threading.Thread(target=process.stderr.read, daemon=True).start()
-        counts, until = [0] * lines, time.monotonic() + seconds
+        counts, until = [0] * connections, time.monotonic() + seconds
 
         def viewer(at: int) -> None:
             wire = Wire(socket.create_connection(("127.0.0.1", port), 10.0))
@@ -263,7 +263,7 @@
                 counts[at] += served
             wire.close()
 
-        threads = [threading.Thread(target=viewer, args=(at,)) for at in range(lines)]
+        threads = [threading.Thread(target=viewer, args=(at,)) for at in range(connections)]
         before = cpu_time_s(process.pid)
         for thread in threads:
             thread.start()
@@ -272,8 +272,8 @@
         used = cpu_time_s(process.pid) - before
         process.terminate()
         process.wait(10.0)
-        for stand in (*pumps, log):
-            stand.stop()
+        for component in (*servers, log):
+            component.stop()
     return sum(counts) / seconds, sum(counts) / used
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -186,14 +186,14 @@
         world.start_known()
         world.net.run(20_000.0)
         assert world.agreed()
-        messages, size, span, begun = world.net.messages, world.net.bytes, 10.0, time.process_time()
+        messages, size, span, started = world.net.messages, world.net.bytes, 10.0, time.process_time()
         world.net.run(span * 1000.0)
         rows.append(
             {
                 "members": f"{count} (virtual)",
                 "datagrams a second": (world.net.messages - messages) / count / span,
                 "bytes a second": (world.net.bytes - size) / count / span,
-                "processor": f"{(time.process_time() - begun) / count / span:.2%} (core alone)",
+                "processor": f"{(time.process_time() - started) / count / span:.2%} (core alone)",
                 "memory MB": "",
             }
         )
@@ -201,7 +201,7 @@
 
 
 def run_closed_loop(
-    where: tuple[str, int], process: int, seconds: float, lines: int = 6
+    address: tuple[str, int], process: int, seconds: float, connections: int = 6
 ) -> tuple[int, float, list[float]]:
     """Runs viewers in a closed loop, each with a connection of its own.
 
@@ -211,7 +211,7 @@
     until, before = time.monotonic() + seconds, cpu_time_s(process)
 
     def viewer(at: int) -> None:
-        wire, count = Wire(socket.create_connection(where, 10.0)), 0
+        wire, count = Wire(socket.create_connection(address, 10.0)), 0
         while time.monotonic() < until:
             count += 1
             started = time.monotonic()
@@ -223,7 +223,7 @@
             answer(wire)
         wire.close()
 
-    threads = [threading.Thread(target=viewer, args=(at,)) for at in range(lines)]
+    threads = [threading.Thread(target=viewer, args=(at,)) for at in range(connections)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -241,64 +241,64 @@
     which shows how much equal processes differ.  They take turns in the order ABBA, so that other load on the
     machine affects both alike.
     """
-    pumps = [[Quick(f"{letter}-{at:04x}{n:04x}", n) for n in range(2)] for letter in "st"]
+    server_groups = [[Quick(f"{letter}-{at:04x}{n:04x}", n) for n in range(2)] for letter in "st"]
     with (
         tempfile.TemporaryDirectory() as name,
-        ExitStack() as held,
+        ExitStack() as stack,
         ProcessPoolExecutor(1, mp_context=get_context("spawn")) as viewers,
     ):
         routers: list[tuple[tuple[str, int], int]] = []
-        for which, stands in enumerate(pumps):
+        for which, servers in enumerate(server_groups):
             if which and kind == "with members":
-                made = held.enter_context(
-                    rig(Path(name), 5, pumps=stands, gated=False, fleetSize=1, program=OPTIMIZED)
+                made = stack.enter_context(
+                    rig(Path(name), 5, server_groups=servers, gated=False, fleetSize=1, program=OPTIMIZED)
                 )
                 assert made[0].process is not None
                 routers.append((made[0].ports["listening"], made[0].process.pid))
                 continue
             log, folder = ChangeLog(), Path(name) / f"alone{which}"
             folder.mkdir()
-            program = Program(folder, list(stands), log, program=OPTIMIZED, fleetSize=1)
-            held.callback(log.stop)
-            held.callback(program.end)
+            program = Program(folder, list(servers), log, program=OPTIMIZED, fleetSize=1)
+            stack.callback(log.stop)
+            stack.callback(program.end)
             routers.append((("127.0.0.1", program.port), program.process.pid))
-        seen: list[list[tuple[int, float, list[float]]]] = [[], []]
+        results: list[list[tuple[int, float, list[float]]]] = [[], []]
         for which in (0, 1):
             viewers.submit(run_closed_loop, *routers[which], 0.5).result()  # until both are warm
         for turn in range(TURNS):
             for which in ((0, 1), (1, 0))[turn % 2]:
-                seen[which].append(viewers.submit(run_closed_loop, *routers[which], TURN_S).result())
-        for stands in pumps:
-            for stand in stands:
-                stand.stop()
+                results[which].append(viewers.submit(run_closed_loop, *routers[which], TURN_S).result())
+        for servers in server_groups:
+            for server in servers:
+                server.stop()
     return [
         (
-            sum(x[0] for x in all_) / TURNS / TURN_S,
-            sum(x[0] for x in all_) / sum(x[1] for x in all_),
-            percentile([y for x in all_ for y in x[2]], 0.99),
+            sum(x[0] for x in runs) / TURNS / TURN_S,
+            sum(x[0] for x in runs) / sum(x[1] for x in runs),
+            percentile([y for x in runs for y in x[2]], 0.99),
         )
-        for all_ in seen
+        for runs in results
     ]
 
 
 def setups(pairs: int = PAIRS) -> Rows:
     """Compares pairs of fresh processes: even equal processes differ, by their memory layout."""
     tasks = [(kind, at) for at in range(pairs) for kind in ("with members", "without")]
-    with ProcessPoolExecutor(MAX_PARALLEL_PAIRS, mp_context=get_context("spawn")) as lanes:
-        told = list(lanes.map(measure_pair, *zip(*tasks, strict=True)))
+    with ProcessPoolExecutor(MAX_PARALLEL_PAIRS, mp_context=get_context("spawn")) as pool:
+        results = list(pool.map(measure_pair, *zip(*tasks, strict=True)))
     rows: Rows = []
-    draw = random.Random(5)
+    rng = random.Random(5)
     for kind in ("without", "with members"):
-        of_kind = [seen for (which, _), seen in zip(tasks, told, strict=True) if which == kind]
+        measured = [result for (which, _), result in zip(tasks, results, strict=True) if which == kind]
         for at, what in enumerate(("set-ups a second", "set-ups a second of its processor", "p99 ms")):
-            ratios = [100.0 * (other[at] / alone[at] - 1.0) for alone, other in of_kind]
-            means = sorted(sum(draw.choices(ratios, k=len(ratios))) / len(ratios) for _ in range(2000))
+            ratios = [100.0 * (other[at] / alone[at] - 1.0) for alone, other in measured]
+            means = sorted(sum(rng.choices(ratios, k=len(ratios))) / len(ratios) for _ in range(2000))
             rows.append(
                 {
                     "the rival": kind,
                     "what": what,
                     "pairs": len(ratios),
-                    "alone": sum(x[0][at] for x in of_kind) / len(of_kind),
+                    "alone": sum(x[0][at] for x in measured) / len(measured),
                     "difference %": f"{sum(ratios) / len(ratios):+.2f}",
                     "95% of it lies in": f"{means[50]:+.2f} to {means[1949]:+.2f}",
                     "least and most of a pair": f"{min(ratios):+.1f} to {max(ratios):+.1f}",
@@ -312,22 +312,22 @@
     with tempfile.TemporaryDirectory() as name, rig(Path(name), MEMBERS, program=OPTIMIZED) as made:
         made.hub.every(loss=0.2)
         made.starve(len(os.sched_getaffinity(0)))
-        at = made.record.now()
+        start_ms = made.record.now()
         schedule.play(made, schedule.pauses(11, MEMBERS, minutes * 60.0, every_s=1.0, most_s=2.0))
         made.relieve()
         made.until_agreed(made.routers, 30.0)
-        told: Counter[str] = Counter(x.told["to"] for x in made.record.of("changed", since_ms=at))
+        changes: Counter[str] = Counter(x.told["to"] for x in made.record.of("changed", since_ms=start_ms))
         pauses = sum(x.told.get("signal") == "SIGSTOP" for x in made.record.of("fault"))
         counters = [x.status()["members"]["counters"] for x in made.routers]
         return [
             {
-                "minutes": round((made.record.now() - at) / 60_000.0, 1),
+                "minutes": round((made.record.now() - start_ms) / 60_000.0, 1),
                 "processes": MEMBERS,
                 "pauses made": pauses,
                 "away seen": sum(x["pauses"] for x in counters),
-                "suspected": told["suspect"],
-                "removed": told["dead"],
-                "returned": told["returned"],
+                "suspected": changes["suspect"],
+                "removed": changes["dead"],
+                "returned": changes["returned"],
                 "datagrams lost": made.hub.counts["lost"],
                 "passed": made.hub.counts["passed"],
             }
@@ -354,18 +354,18 @@
 def main() -> None:
     """Runs the parts that the command line names, and writes all tables."""
     path = RESULTS / "members.json"
-    held: dict[str, Rows] = json.loads(path.read_text()) if path.exists() else {}
-    words = sys.argv[1:]
-    minutes = next((float(x) for x in words if x.replace(".", "").isdigit()), 30.0)
-    for part in [x for x in words if x in PARTS] or list(PARTS):
+    results: dict[str, Rows] = json.loads(path.read_text()) if path.exists() else {}
+    arguments = sys.argv[1:]
+    minutes = next((float(x) for x in arguments if x.replace(".", "").isdigit()), 30.0)
+    for part in [x for x in arguments if x in PARTS] or list(PARTS):
         call = PARTS[part][1]
-        held[part] = call(minutes) if part == "soak" else call()
-        print(part, held[part], flush=True)
-        path.write_text(json.dumps(held, indent=1) + "\n")
+        results[part] = call(minutes) if part == "soak" else call()
+        print(part, results[part], flush=True)
+        path.write_text(json.dumps(results, indent=1) + "\n")
     write_results(
         "members",
         "Membership",
-        [(PARTS[x][0], held[x]) for x in PARTS if x in held],
+        [(PARTS[x][0], results[x]) for x in PARTS if x in results],
         "python -m benchmarks.members",
     )
 
--- a/benchmarks/members_ways.py
+++ b/benchmarks/members_ways.py
@@ -365,43 +365,43 @@
 
 def measure_detection(way: str, count: int, seed: int) -> tuple[float, float]:
     """Returns messages a member a second when idle, and the ms until all know of a kill (nan: never)."""
-    calm = WAYS[way](count, seed)
-    calm.net.run(2000.0)
-    before = calm.net.messages
-    calm.net.run(4000.0)
-    rate = (calm.net.messages - before) / count / 4.0
-    begun, victim = calm.net.now, count // 2
-    calm.kill(victim)
-    while calm.net.now < begun + DETECTION_LIMIT_MS:
-        calm.net.run(500.0)
-        known = {by: at for at, by, about in calm.removals if about == victim}
+    model = WAYS[way](count, seed)
+    model.net.run(2000.0)
+    before = model.net.messages
+    model.net.run(4000.0)
+    rate = (model.net.messages - before) / count / 4.0
+    killed_ms, victim = model.net.now, count // 2
+    model.kill(victim)
+    while model.net.now < killed_ms + DETECTION_LIMIT_MS:
+        model.net.run(500.0)
+        known = {by: at for at, by, about in model.removals if about == victim}
         if len(known) >= count - 1:
-            return rate, max(known.values()) - begun
+            return rate, max(known.values()) - killed_ms
     return rate, math.nan
 
 
 def measure_wrong_removals(way: str, count: int, seed: int, span: float) -> float:
     """Returns false removals a minute under losses and pauses, counting each member once in 5 s."""
-    rough = WAYS[way](count, seed + 100)
-    rough.net.usual = Way(loss=0.2)
-    draw = random.Random(seed)
-    until = rough.net.now + span
-    while rough.net.now < until:
-        rough.net.run(draw.expovariate(1.0 / 1000.0))
-        number = draw.randrange(count)
-        rough.pause(number)
-        rough.net.run(draw.uniform(100.0, 2000.0))
-        rough.wake(number)
-    return len({(round(at / 5000.0), about) for at, _, about in rough.removals}) * 60_000.0 / span
+    model = WAYS[way](count, seed + 100)
+    model.net.usual = Way(loss=0.2)
+    rng = random.Random(seed)
+    until = model.net.now + span
+    while model.net.now < until:
+        model.net.run(rng.expovariate(1.0 / 1000.0))
+        number = rng.randrange(count)
+        model.pause(number)
+        model.net.run(rng.uniform(100.0, 2000.0))
+        model.wake(number)
+    return len({(round(at / 5000.0), about) for at, _, about in model.removals}) * 60_000.0 / span
 
 
 def measure_one_sided_cut(way: str, count: int, seed: int, span: float) -> tuple[float, float]:
     """Returns removals and returns, and views at the end, when only A's messages to B are lost."""
-    sided = WAYS[way](count, seed + 200)
-    sided.net.run(3000.0)
-    sided.cut(0, 1)
-    sided.net.run(span)
-    return float(len(sided.removals) + len(sided.returns)), float(sided.views())
+    model = WAYS[way](count, seed + 200)
+    model.net.run(3000.0)
+    model.cut(0, 1)
+    model.net.run(span)
+    return float(len(model.removals) + len(model.returns)), float(model.views())
 
 
 SPANS = {
@@ -415,13 +415,13 @@
 
 
 def run_task(task: Task) -> tuple[float, ...]:
-    what, way, count, seed = task
+    kind, detector, count, seed = task
     rough, sided = SPANS[count]
-    if what == "detect":
-        return measure_detection(way, count, seed)
-    if what == "wrong":
-        return (measure_wrong_removals(way, count, seed, rough),)
-    return measure_one_sided_cut(way, count, seed, sided)
+    if kind == "detect":
+        return measure_detection(detector, count, seed)
+    if kind == "wrong":
+        return (measure_wrong_removals(detector, count, seed, rough),)
+    return measure_one_sided_cut(detector, count, seed, sided)
 
 
 def main() -> None:
