--- a/cloverhinge/members/core.py
+++ b/cloverhinge/members/core.py
@@ -44,7 +44,9 @@
 SYNC_SLICE_NAMES = 32  # names per slice: about 800 bytes with their numbers
 MAX_UPDATE_BYTES = 900  # of records in a datagram; the rest is left for its header
 GOSSIP_FANOUT = 3  # members that are sent urgent updates at each tick
-REPEATS_PER_LOG2 = 2  # an update is passed on so often, times log2 of the member count: e^-10 of 16 miss one
+# Each member passes an update on so often, times log2 of the member count.  With 16 members that is 10 times,
+# so that a member misses the update with a probability of about e^-10.
+REPEATS_PER_LOG2 = 2
 PUBLISH_MS_PER_MEMBER = 25.0  # added to the publish interval per member: 40 publications a second in all
 MIN_PUBLISH_INTERVAL_MS = 1000.0  # between two publications of facts
 FULL_SYNC_INTERVAL_MS = 1000.0  # between full syncs with one member
@@ -96,10 +98,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member joined, ended, returned or is suspect; `view` is the resulting view."""
+    """A member joined, ended, returned, restarted, or began or ceased to be suspect.
+
+    `view` is the resulting view.
+    """
 
     name: str
-    change: str  # joined, returned, restarted, suspect, heard, dead, left
+    change: str  # joined, returned, restarted, suspect, heard (no longer suspect), dead, left
     reason: str
     incarnation: int
     view: View
@@ -149,13 +154,13 @@
     sent: int = 0
     received: int = 0
     replayed: int = 0
-    stray: int = 0
-    knocks: int = 0
+    stray: int = 0  # messages for another run that were answered with WrongRun
+    knocks: int = 0  # connections tried to members that do not answer pings
     pauses: int = 0
     paused_ms: float = 0.0
-    accused: int = 0
-    unanswered_strangers: int = 0
-    news: int = 0
+    accused: int = 0  # death claims on this run that it has refuted
+    unanswered_strangers: int = 0  # messages for other runs above the limit of answers
+    news: int = 0  # records stored that were newer than the known ones
 
 
 @dataclass(slots=True)
@@ -230,7 +235,7 @@
         self._starting_addresses: set[Address] = set()  # join addresses whose routers have not joined either
         self._unreachable: set[str] = set()  # members that are unreachable or suspect
         self._disputed: set[str] = set()  # members with a death claim
-        self._leave_targets: list[str] = []  # members that are told, and told again, that this router leaves
+        self._leave_targets: list[str] = []  # members to which the leaving is announced, repeatedly
         self._proven_until_ms: OrderedDict[int, float] = OrderedDict()  # by run that answered
         self._sent_discover_replies: OrderedDict[int, int] = OrderedDict()  # by number, the receiving run
         self._duplicate_until_ms = 0.0
@@ -249,7 +254,7 @@
         """
         return self.received_since_pause and self._last_ms >= self.resync_until_ms
 
-    def state(self, name: str) -> str:
+    def state_name(self, name: str) -> str:
         """Returns alive, suspect, dead or left; raises KeyError for an unknown name."""
         record = self.table.records[name]
         if record.state is not State.ALIVE:
@@ -282,9 +287,10 @@
         return self._take_actions()
 
     def publish(self, now: float, facts: bytes) -> list[Action]:
-        """Publishes facts at the rate that the number of members allows; newer ones replace waiting ones.
+        """Sets the facts of this member: what its components tell other members, encoded as msgpack.
 
-        Raises ValueError if they exceed MAX_FACTS_BYTES.
+        They are published by `tick`, at a rate that falls with the number of members.  Facts that still wait
+        are replaced.  Raises ValueError if they exceed MAX_FACTS_BYTES.
         """
         if len(facts) > wire.MAX_FACTS_BYTES:
             raise ValueError(
@@ -394,9 +400,10 @@
         return self._take_actions()
 
     def connect_ended(self, now: float, name: str, run: int, sent_ms: float, refused: bool) -> list[Action]:
-        """Handles the end of a connection attempt: refused (no process listens), or timed out.
+        """Handles the end of a probe's connection; `refused`: no process listens at the address.
 
-        Answers over the connection go to `receive`.
+        All other ends (timed out, closed, never begun) count the same.  Answers over the connection go
+        to `receive`.
         """
         self._detect_pause(now)
         monitor, record = self.monitors.get(name), self.table.records.get(name)
@@ -404,7 +411,7 @@
             monitor.connecting = False
             if (
                 refused
-                and (monitor.answered_ms is None or monitor.answered_ms < sent_ms)
+                and (monitor.last_answered_sent_ms is None or monitor.last_answered_sent_ms < sent_ms)
                 and not self._resyncing(now)
             ):
                 monitor.record_refusal(now)
@@ -425,7 +432,7 @@
         self.counters.pauses += 1
         self.counters.paused_ms += pause_ms
         for monitor in self.monitors.values():
-            monitor.credit_pause(pause_ms)
+            monitor.exclude_pause(pause_ms)
         for info in self.member_info.values():
             if info.unreachable_since_ms is not None:
                 info.unreachable_since_ms += pause_ms
@@ -464,7 +471,7 @@
         self.own_record = msgspec.structs.replace(
             self.own_record, incarnation=max(self._first_incarnation, self.own_record.incarnation)
         )
-        self._store(now, self.own_record, "joined", "by its own word")
+        self._store(now, self.own_record, "joined", "self-reported")
 
     def _handle_discover_reply(self, now: float, message: DiscoverReply) -> None:
         asked = self._pending_discovers.pop(message.nonce, None)
@@ -562,7 +569,7 @@
             gone = {x.address: x for x in self.table.records.values() if x.state is State.DEAD}
             targets = [x for x in dict.fromkeys([*self.join_addresses, *gone]) if x not in members]
             targets = [self.random.choice(targets)] if targets else []
-            if targets and targets[0] in gone:  # one that only receives learns that it is dead
+            if targets and targets[0] in gone:  # a member that only receives learns that it was declared dead
                 self._send(gone[targets[0]], Update(records=[gone[targets[0]]]))
         for address in targets:
             self._send_discover_request(address)
@@ -645,8 +652,8 @@
     def _merge(self, now: float, message: Ping | Ack | SyncRequest | Update) -> None:
         """Applies the records of a message.
 
-        A member that receives nothing takes all others for dead, so DEAD records are accepted only from a
-        sender that is reachable or has answered recently.
+        A member that receives nothing concludes that all others are dead, so DEAD records are accepted only
+        from a sender that is reachable or has answered recently.
         """
         believed = self._proven_until_ms.get(message.run, -1e12) >= now or message.sender in self._reachable
         if not believed and len(self._reachable) > 1:
@@ -655,6 +662,7 @@
             self._apply_all(now, message.records)
 
     def _apply_all(self, now: float, records: list[Record]) -> None:
+        """Applies the records that are newer; ignores all before this router has joined and after it left."""
         if not self.joined or self.left:
             return
         for record in records:
@@ -664,7 +672,11 @@
                 self._apply(now, record)
 
     def _refute(self, now: float, claim: Record) -> None:
-        """Handles a record of this router from another member; only its own run may change its record."""
+        """Handles another member's record of this router; only its own run may change its record.
+
+        Unless the record is this run's own or outdated, it is refuted with a higher incarnation.  If
+        another run at another address claims the name repeatedly, the name counts as in conflict.
+        """
         if (
             claim.run == self.run
             and claim.state is State.ALIVE
@@ -700,7 +712,7 @@
                 now,
                 record,
                 "joined" if record.state is State.ALIVE else record.state.name.lower(),
-                record.state_reason or "by its own word",
+                record.state_reason or "self-reported",
             )
             return
         alive = current.state is State.ALIVE
@@ -708,7 +720,7 @@
             change = ""
             if current.incarnation != record.incarnation:
                 change = "restarted" if current.run != record.run else "returned"
-            self._store(now, record, change, "by its own word")
+            self._store(now, record, change, "self-reported")
             return
         if (
             alive
@@ -716,8 +728,8 @@
             and record.incarnation == current.incarnation
             and record.name in self._reachable
         ):
-            # It is reachable here, so the claim is outdated or comes from across a partition: the member is
-            # told of it and may refute it.
+            # It is reachable here, so the claim is outdated or comes from across a partition: it is sent to
+            # the member, which may refute it.
             info = self.member_info[record.name]
             if info.death_claim is None:
                 info.death_claim, info.death_claim_sent_ms = record, -1e12
@@ -769,7 +781,7 @@
         change = "" if previous.incarnation == self.own_record.incarnation else "returned"
         if self.own_record.state is State.LEFT:
             change = "left"
-        self._store(now, self.own_record, change, self.own_record.state_reason or "by its own word")
+        self._store(now, self.own_record, change, self.own_record.state_reason or "self-reported")
 
     def _publish_facts(self, now: float) -> None:
         interval_ms = max(MIN_PUBLISH_INTERVAL_MS, PUBLISH_MS_PER_MEMBER * len(self.table.names))
@@ -815,6 +827,11 @@
             self._request_full_sync(now, record)
 
     def _request_full_sync(self, now: float, record: Record, run: int = 0, reply_number: int = 0) -> None:
+        """Sends a member the versions of all records, so that it answers with newer ones.
+
+        Does nothing within FULL_SYNC_INTERVAL_MS of the last request to it.  `run`: of the member, 0 for the
+        one in the record; `reply_number`: of the discover reply that led to this request, 0 if none did.
+        """
         info = self.member_info[record.name]
         if now - info.full_sync_ms < FULL_SYNC_INTERVAL_MS:
             return
@@ -910,7 +927,7 @@
             return
         sent_ms = monitor.pending_pings.pop(ping_number, None)
         if sent_ms is not None:
-            first = monitor.answered_ms is None
+            first = monitor.last_answered_sent_ms is None
             monitor.record_answer(sent_ms)
             if first or name not in self.own_record.reachable:
                 self._update_reachable(self._last_ms)
@@ -927,7 +944,7 @@
             self._set_own(now, reachable=reachable, refused=refused)
 
     def _is_reachable(self, monitor: PeerMonitor, now: float) -> bool:
-        silent = monitor.answered_ms is None or monitor.silent_ms(now) > self.rules.quiet_ms
+        silent = monitor.last_answered_sent_ms is None or monitor.silent_ms(now) > self.rules.quiet_ms
         return not silent and not monitor.refusing
 
     def _evaluate_members(self, now: float) -> None:
@@ -943,7 +960,7 @@
             info = self.member_info[name]
             if name in self._reachable or not self.table.alive(name):
                 if info.suspect and self.table.alive(name):
-                    self._set_suspect(name, info, False, "heard again")
+                    self._set_suspect(name, info, False, "reachable again")
                 info.unreachable_since_ms = None
                 self._unreachable.discard(name)
                 continue
@@ -968,7 +985,7 @@
                 and now - info.unreachable_since_ms >= SUSPECT_MS
                 and now - info.since_ms >= self.rules.quiet_ms
             ):
-                self._set_suspect(name, info, True, "heard by none that can be reached")
+                self._set_suspect(name, info, True, "not reached by any reachable observer")
 
     def _set_suspect(self, name: str, info: MemberInfo, suspect: bool, reason: str) -> None:
         info.suspect = suspect
--- a/cloverhinge/members/table.py
+++ b/cloverhinge/members/table.py
@@ -130,7 +130,7 @@
         return False
 
     def take_updates(self, max_bytes: int, repeats: int) -> list[Record]:
-        """Returns records to pass on, up to `max_bytes` in total, beginning with the least often passed on.
+        """Returns records to pass on, up to `max_bytes` in total, those that have waited longest first.
 
         A record is dropped from the pending updates once it has been passed on `repeats` times.
         """
@@ -138,7 +138,7 @@
         for name in list(self.pending_updates):
             size = self.sizes[name]
             if size > max_bytes:
-                if max_bytes < 64:
+                if max_bytes < 64:  # less than the size of a record
                     break
                 continue
             max_bytes -= size
--- a/cloverhinge/members/transport.py
+++ b/cloverhinge/members/transport.py
@@ -80,7 +80,7 @@
 
 
 class OutgoingFactory(ClientFactory):
-    """Opens one connection, which sends `first_message`; `probe` is told if it fails."""
+    """Opens one connection, which sends `first_message`; the end of a probe is reported to the core."""
 
     noisy = False
 
@@ -219,7 +219,7 @@
                 {
                     "name": name,
                     "site": record.site,
-                    "state": membership.state(name),
+                    "state": membership.state_name(name),
                     "incarnation": record.incarnation,
                     "since_ms": round(now - membership.member_info[name].since_ms),
                     "reach": {"heard_by": reaching, "not_heard_by": not_reaching},
--- a/cloverhinge/members/watch.py
+++ b/cloverhinge/members/watch.py
@@ -68,7 +68,7 @@
 
     __slots__ = (
         "pending_pings",
-        "answered_ms",
+        "last_answered_sent_ms",
         "connecting",
         "next_connect_ms",
         "next_ping_ms",
@@ -79,7 +79,7 @@
 
     def __init__(self, now: float, first_ping_ms: float) -> None:
         self.since_ms = now
-        self.answered_ms: float | None = None  # when the last answered ping was sent
+        self.last_answered_sent_ms: float | None = None  # when the last answered ping was sent
         self.next_ping_ms = first_ping_ms
         self.next_connect_ms = now
         self.pending_pings: OrderedDict[int, float] = OrderedDict()  # number: when it was sent
@@ -98,8 +98,8 @@
 
         It proves only that the member was alive at some time after that.
         """
-        if self.answered_ms is None or sent_ms > self.answered_ms:
-            self.answered_ms = sent_ms
+        if self.last_answered_sent_ms is None or sent_ms > self.last_answered_sent_ms:
+            self.last_answered_sent_ms = sent_ms
         if sent_ms >= self.first_refusal_ms:
             self.refusals = 0
 
@@ -111,13 +111,16 @@
 
     def silent_ms(self, now: float) -> float:
         """How long ago the last answered ping was sent, or the monitoring began."""
-        return now - (self.since_ms if self.answered_ms is None else self.answered_ms)
+        return now - (self.since_ms if self.last_answered_sent_ms is None else self.last_answered_sent_ms)
 
-    def credit_pause(self, ms: float) -> None:
-        """Discounts a pause of this process, in which it could not have received answers."""
+    def exclude_pause(self, ms: float) -> None:
+        """Shifts the times by a pause of this process, in which it could not have received answers.
+
+        Also clears the refusals.
+        """
         self.since_ms += ms
-        if self.answered_ms is not None:
-            self.answered_ms += ms
+        if self.last_answered_sent_ms is not None:
+            self.last_answered_sent_ms += ms
         self.refusals = 0
 
     @property
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -191,7 +191,7 @@
     leaver.kill()
     world.net.run(10_000.0)
     assert world.agreed() and not world.told("dead") and not world.told("suspect")
-    assert {x.members.state("r001") for x in world.routers if x is not leaver} == {"left"}
+    assert {x.members.state_name("r001") for x in world.routers if x is not leaver} == {"left"}
     assert world.routers[0].members.view().expected == 4
 
 
