--- a/cloverhinge/ownership/component.py
+++ b/cloverhinge/ownership/component.py
@@ -45,7 +45,7 @@
 MIN_RETENTION_MS = 60_000.0  # a final answer is stored for at least this time
 MAX_ANSWER_BYTES = 1024  # of a replicated RTSP answer; for a longer one, a successor's answer has no body
 MAX_PENDING = 1024  # releases, and answers, that wait until the ownership is confirmed
-MAX_REMEMBERED = 4096  # session names, or record ids, in each of the two tables of remembered ones
+MAX_REMEMBERED = 4096  # entries in each of `handed_over` and `served_unreplicated`
 
 
 class FrontAdapter(Protocol):
@@ -70,10 +70,10 @@
 
 
 class OwnershipComponent:
-    """A component of the node; the core reaches it as its `OwnershipPort`."""
+    """A component of the node; the router reaches it as its `OwnershipPort`."""
 
     log = Logger()
-    key = "custody"
+    key = "custody"  # names the component in messages and in the status
 
     def __init__(
         self,
@@ -85,14 +85,18 @@
         seed: int,
         store_folder: Path | None = None,
     ) -> None:
-        """`seed`: of all random draws; `store_folder`: of records that survive a restart; None: none do."""
+        """`seed` seeds all random draws.
+
+        Records survive a restart in `store_folder`; without one (None) they do not.
+        """
         self.site, self.members, self.router, self.store_folder = site, members, router, store_folder
         self.replica_store: ReplicaStore | None = None
         self.clock, self.deadlines, self.seed = clock, deadlines, seed
         self.adapters: dict[str, FrontAdapter] = {}
         self.retention_ms = MIN_RETENTION_MS
         self.core: core.OwnershipCore
-        self._last_call = 0
+        self._last_call_number = 0
+        # Callbacks of claims and look-ups that are under way, by call number.
         self._calls: dict[int, Callable[[Verdict, Work | None], None]] = {}
         # Paid answers that wait until their records are replicated, by record id.
         self._unreplicated_answers: dict[str, tuple[Request, bytes]] = {}
@@ -103,9 +107,9 @@
         self.served_unreplicated: OrderedDict[str, None] = OrderedDict()  # ids of records without replicas
         # The request that ended last, and whether this router was sure to own its record then.
         self._last_ended: tuple[Request | None, bool] = (None, False)
-        self._adopting = False
+        self._adopting = False  # while set, `adopted` and `ended` leave the record as it is
         self._flush_timer: DeadlineKey | None = None
-        self._unclaimed: dict[str, Request] = {}  # repeatable ones, until the next flush
+        self._unclaimed: dict[str, Request] = {}  # repeatable requests, claimed at the next flush
         self._members_changed = True
         self._members_updated_ms = -1e12
 
@@ -293,9 +297,9 @@
         self._act(self.core.flush(self.clock.now()))
 
     def _add_call(self, call: Callable[[Verdict, Work | None], None]) -> int:
-        self._last_call += 1
-        self._calls[self._last_call] = call
-        return self._last_call
+        self._last_call_number += 1
+        self._calls[self._last_call_number] = call
+        return self._last_call_number
 
     def claim(
         self,
--- a/cloverhinge/ownership/core.py
+++ b/cloverhinge/ownership/core.py
@@ -104,7 +104,8 @@
         self._pending_hand_overs: OrderedDict[str, tuple[str, wire.HandOver, float, float]] = OrderedDict()
         self._unacknowledged_parts: dict[tuple[str, int], tuple[wire.TransferPart, float]] = {}
         self._received_parts: dict[str, set[int]] = {}
-        self._replica_counts: Counter[str] = Counter()  # records owned here, by the replica
+        # Number of records owned here, by member id of the replica.
+        self._replica_counts: Counter[str] = Counter()
         # Records that were prepared here and given up before the set-up was sent.
         self._unused: OrderedDict[str, None] = OrderedDict()
         self._last_ballot: Ballot = NO_BALLOT
@@ -326,7 +327,10 @@
         self._write_record(now, record, register.with_next_owner(record.work, to))
 
     def receive(self, now: float, member: Member, data: bytes) -> list[Action]:
-        """Handles a message from another router.  Raises MessageError where it cannot be decoded."""
+        """Handles a message from another router.  Raises MessageError where it cannot be decoded.
+
+        The message is ignored where its sender is new and the table of peers is full.
+        """
         message = wire.decode(data)
         member_id = member.member_id
         peer = self.peers.get(member_id)
@@ -504,7 +508,7 @@
             self._restored_unconfirmed = True
             self._actions.append(
                 LogMessage(
-                    f"its store is complete: {len(restored.slots)} records, roster "
+                    f"its store is complete: {len(restored.slots)} records, replica set "
                     f"{self.replica_sets.number}"
                 )
             )
@@ -517,7 +521,10 @@
     # Leases
 
     def _request_leases(self, now: float, at_once: bool = False) -> None:
-        """Sent to all living members: those that hold no replica for this router learn that it takes part."""
+        """Requests a lease from each alive member whose last request is old enough, or (`at_once`) from all.
+
+        Members that hold no replica of this router's records learn by it that this router takes part.
+        """
         for member_id in self.alive:
             peer = self.peers[member_id]
             if at_once or now - peer.requested_ms >= self.rules.lease_ms / RENEWALS_PER_LEASE:
@@ -876,22 +883,25 @@
         item: wire.Prepare | wire.Write,
         set_id: tuple[int, int],
     ) -> wire.Items:
-        active = self.replica_sets.active_since_ms
+        """Answers a prepare or write request; refuses where this router does not vote on records now."""
+        active_since_ms = self.replica_sets.active_since_ms
         if (
             set_id != self._set_id
-            or active is None
+            or active_since_ms is None
             or not self._majority_reachable(now)
             or self.replica_sets.vote_suspended
         ):
             return wire.Refused(item.id, item.ballot, RefusalReason.REPLICA_SET)
-        written = self.replica.slots.get(item.id, register.EMPTY_SLOT).accepted[0]
+        written_counter = self.replica.slots.get(item.id, register.EMPTY_SLOT).accepted[0]
         hole = any(
-            placement.may_be_lost(item.id, written, x, self.rules.tolerated_losses + 1)
+            placement.may_be_lost(item.id, written_counter, x, self.rules.tolerated_losses + 1)
             for x in self.replica_sets.holes
         )
         if isinstance(item, wire.Write):
             return self.replica.write(now, member_id, item, hole)
-        if hole and now - active < HOLE_WAIT_MS:
+        if hole and now - active_since_ms < HOLE_WAIT_MS:
+            # The record may have been lost, and its owner may still write it again: refused as by a replica
+            # that does not vote yet, so that the proposer tries again later.
             return wire.Refused(item.id, item.ballot, RefusalReason.REPLICA_SET)
         return self.replica.prepare(now, member_id, item, hole)
 
--- a/cloverhinge/ownership/model.py
+++ b/cloverhinge/ownership/model.py
@@ -153,7 +153,7 @@
 
 
 class Stage(Enum):
-    """Of an attempt to acquire a record."""
+    """The stage of an attempt to acquire a record."""
 
     WAIT = 0  # until `next_ms`
     CLAIM = 1  # written as new, without a prepare round
--- a/cloverhinge/ownership/persistence.py
+++ b/cloverhinge/ownership/persistence.py
@@ -40,7 +40,7 @@
 
 
 class StoreState(IntEnum):
-    """What a router announces of its store, to those who count votes."""
+    """What a router announces of its store, to the routers that count votes."""
 
     FORGOT = 0  # it has none, or one whose contents are not trusted
     JUDGING = 1  # whether it is complete is not known yet
@@ -132,7 +132,7 @@
     vote_state: VoteState = field(default_factory=lambda: VoteState(None))  # as last written
     _held_back: deque[tuple[int, str, wire.Items, bool]] = field(default_factory=deque)
     _void: bool = False
-    _above: Mark = NO_MARK
+    _min_mark: Mark = NO_MARK  # the marks of the next rows have to be above this one
     _runs_number: int = 0  # number of the rows with this run in the list of runs
     _marks_written_ms: float = -1e12
     _claim_sent_ms: float = -1e12
@@ -235,11 +235,11 @@
                 mark = self.witness.latest_marks.get(name)
                 rows[MARK_PREFIX + name] = None if mark is None else msgspec.msgpack.encode(mark)
             self.witness.changed.clear()
-        if not rows and not self._void and self._above == NO_MARK:
+        if not rows and not self._void and self._min_mark == NO_MARK:
             return None
         self.last_number += 1
         void, self._void = self._void, False
-        above, self._above = self._above, NO_MARK
+        above, self._min_mark = self._min_mark, NO_MARK
         return Persist(self.last_number, rows, void, above)
 
     def on_durable(self, number: int, mark: Mark) -> list[tuple[str, wire.Items, bool]]:
@@ -273,13 +273,16 @@
         )
 
     def on_claim_answer(self, name: str, answer: wire.StoreClaimAnswer) -> StoreVerdict:
-        """Takes another router's answer on this store; returns the verdict so far."""
+        """Counts another router's answer to this store's claim.
+
+        Returns the verdict so far; WAITING also where no check is under way.
+        """
         if self.judge is None:
-            self._above = max(self._above, Mark(answer.latest_generation, answer.latest_position))
+            self._min_mark = max(self._min_mark, Mark(answer.latest_generation, answer.latest_position))
             return StoreVerdict.WAITING
         self.judge.add_answer(name, Mark(answer.generation, answer.position), answer.allows)
         if self.judge.verdict is StoreVerdict.BEHIND:
-            self._above = max(self._above, Mark(answer.latest_generation, answer.latest_position))
+            self._min_mark = max(self._min_mark, Mark(answer.latest_generation, answer.latest_position))
         return self.judge.verdict
 
     def conclude(self, whole: bool) -> RestoredState | None:
@@ -296,7 +299,7 @@
         return None
 
     def note_mark(self, name: str, mark: Mark) -> wire.StoreClaimAnswer | None:
-        """Takes a mark that came with a message; returns an answer where a later generation's is known."""
+        """Notes a mark that came with a message; returns an answer where a later generation's is known."""
         if mark == NO_MARK:
             return None
         latest = self.witness.latest_marks.get(name, NO_MARK)
--- a/cloverhinge/ownership/register.py
+++ b/cloverhinge/ownership/register.py
@@ -26,7 +26,7 @@
 
 
 class Phase(IntEnum):
-    """Of a piece of work; FAILED and OVER are final answers, the others have an owner that acts."""
+    """The phase of a piece of work; FAILED and OVER are final answers, the others have an owner that acts."""
 
     INTENT = 0  # prepared: its set-up may be under way
     STANDS = 1  # the session is established
--- a/cloverhinge/ownership/replica.py
+++ b/cloverhinge/ownership/replica.py
@@ -151,7 +151,7 @@
     # From one replica set to the next
 
     def enter_replica_set(self, number: int) -> None:
-        """Voids all leases' generations of earlier replica sets."""
+        """Voids all lease generations of earlier replica sets."""
         self.first_generation = number * GENERATIONS_PER_REPLICA_SET
         self.generations.clear()
 
--- a/cloverhinge/ownership/replica_sets.py
+++ b/cloverhinge/ownership/replica_sets.py
@@ -24,7 +24,7 @@
 
 SETTLE_MS = 700.0  # a next replica set is proposed once the members have differed from it for so long
 STAGGER_MS = 400.0  # added for each member before this one in the list, so that one proposes at a time
-# A proposal that is not decided in time begins anew, with twice the time up to the second figure.
+# A proposal that is not decided in time is repeated, with twice the time up to the second figure.
 PROPOSAL_TIMEOUT_MS, MAX_PROPOSAL_TIMEOUT_MS = 400.0, 6400.0
 RESEND_MS = 100.0  # between messages of one proposal
 MAX_HOLES = 16  # in one replica set, the latest
@@ -50,20 +50,20 @@
     """One router's view of the replica set, its vote and its proposals for the next one."""
 
     def __init__(self, own: Member, routers: int, hole_ms: float, seed: int) -> None:
-        """`routers`: how many the installation has; `hole_ms`: how long a hole counts."""
+        """`routers`: how many the installation has; `hole_ms`: how long a hole's records count as unknown."""
         self.own, self.routers, self.hole_ms = own, routers, hole_ms
         self.random = random.Random(seed)
         self.current: ReplicaSet | None = None
-        self.completed_sources: set[str] = set()  # that have transferred all
+        self.completed_sources: set[str] = set()  # member ids of sources that have transferred all replicas
         self.active_since_ms: float | None = None  # since when this router votes
         self.fresh, self.earlier_run_known = False, False
-        self.all_replaced = False  # no member of the current replica set is left
+        self.all_replaced = False  # each member of the current replica set was replaced by a later run
         self.stuck_reason = ""  # why no next replica set can be elected
         self._promised: Ballot = NO_BALLOT
         self._accepted: Ballot = NO_BALLOT
         self._value: ReplicaSet | None = None
         self._proposal: ReplicaSetProposal | None = None
-        self._wanted: tuple[Member, ...] = ()
+        self._wanted: tuple[Member, ...] = ()  # the next members as last given to `tick`
         self._wanted_since_ms: float | None = None
         self._holes: dict[Hole, float] = {}
         # By the member id of an earlier run: the present run that has that run's complete store.
@@ -110,7 +110,7 @@
 
     @property
     def number(self) -> int:
-        """Of the current replica set; 0 where there is none."""
+        """The number of the current replica set; 0 where there is none."""
         return 0 if self.current is None else self.current.number
 
     @property
@@ -151,19 +151,20 @@
     def _replaced(self, runs: RunsByName) -> set[Member]:
         """Members replaced by a later run of their name, which reports that it remembers nothing.
 
-        An earlier run may be reported late.  Incarnations tell the two apart, except to a router that
-        restored its replica set: all may have restarted.  It relies on what runs report of themselves;
-        quorums still intersect as long as the members taken for gone by mistake are fewer than half.
+        A report on an earlier run may arrive late; a higher incarnation shows that the run is a later one.  A
+        router that restored its replica set can't use incarnations, since all routers may have restarted: it
+        relies on the runs' own reports.  Quorums still intersect as long as the members wrongly considered
+        gone are fewer than half.
         """
         if self.current is None:
             return set()
         return {
             x
             for x, incarnation in zip(self.current.members, self.current.incarnations, strict=True)
-            if (current := runs.get(x.name)) is not None
-            and current[0] != x.run
-            and (current[1] > incarnation or self.restored)
-            and Member(x.name, current[0]).member_id in self.forgetful_runs
+            if (latest := runs.get(x.name)) is not None
+            and latest[0] != x.run
+            and (latest[1] > incarnation or self.restored)
+            and Member(x.name, latest[0]).member_id in self.forgetful_runs
         }
 
     def _all_replaced(self, runs: RunsByName) -> bool:
@@ -346,19 +347,19 @@
         """Takes a refusal: the proposal is repeated later with a higher ballot."""
         if self._proposal is not None and refused.ballot == self._proposal.ballot:
             self._promised = max(self._promised, refused.promised)
-            self._proposal.begun_ms = -1e12  # begins anew with a higher ballot after the back-off
+            self._proposal.begun_ms = -1e12  # repeated with a higher ballot after the back-off
             self._back_off(now)
 
     # Following
 
     def is_newer(self, replica_set: ReplicaSet) -> bool:
-        """Whether it is a later one of this router's lineage, or this router's first."""
+        """Whether `replica_set` is a later one of this router's lineage, or this router's first."""
         return self.current is None or (
             replica_set.lineage == self.current.lineage and replica_set.number > self.current.number
         )
 
     def enter(self, now: float, replica_set: ReplicaSet) -> None:
-        """Makes it the current replica set; this router votes once all sources have completed."""
+        """Makes `replica_set` the current one; this router votes once all sources have completed."""
         self.current, self.completed_sources, self.active_since_ms = replica_set, set(), None
         self.settled = False
         self._proposal_timeout_ms, self._yields, self._back_off_until_ms = PROPOSAL_TIMEOUT_MS, 0, -1e12
--- a/cloverhinge/ownership/replica_store.py
+++ b/cloverhinge/ownership/replica_store.py
@@ -44,6 +44,10 @@
         self.persistence = self._open()
 
     def _open(self) -> ReplicaPersistence:
+        """Opens the folder; logs why where it can't be used, or its contents were discarded.
+
+        `writer` stays None where it can't be used.
+        """
         try:
             contents = self.folder.open()
         except UnusableStoreError as error:
@@ -57,7 +61,7 @@
             )
         except ValueError as error:
             self.folder.close()
-            why = f"{self.path} holds what this version does not know: {error}"
+            why = f"{self.path} contains rows that this version does not know: {error}"
             self.log.error("{name}: store: {why}", name=self.own.name, why=why)
             return ReplicaPersistence.unusable(self.own, why)
         self.log.info(
