--- a/cloverhinge/discovery/watch.py
+++ b/cloverhinge/discovery/watch.py
@@ -17,8 +17,8 @@
 
 # Events that a silent log withholds count as received 4 s after the silence began.  Heartbeats arrive every
 # second, so silence is detected after 1.6 s.  If the next connection is silent as well, it is given up 1.2 s
-# later, and the one after that has delivered its events by 3.0 s.  With a second silent reconnection it would
-# take until 4.3 s, which misses the limit.
+# later, and the one after that delivers its events by 3.0 s, the sum of both times and two backoffs.  With
+# a second silent reconnection it would take until 4.3 s, which misses the limit.
 SILENCE_TIMEOUT_MS = 1600.0
 FIRST_LINE_TIMEOUT_MS = 1200.0
 CONNECT_TIMEOUT_MS = 700.0
@@ -204,9 +204,10 @@
             self._caught_up()
 
     def _refetch_gap(self, connection: WatchConnection, last: int, change: ListUpdate | None) -> bool:
-        """Drop the connection and return True if events before `last` are missing, on the first such request.
+        """Return whether events before `last` are missing and requested again, by a new connection.
 
-        A gap that remains after the second request is accepted.  A full list leaves no gap.
+        Each gap is requested again only once: what is still missing then is accepted.  A full list leaves no
+        gap.
         """
         gap = self.seq, last
         if last == self.seq + 1 or (change is not None and change.full) or self.refetched_gap == gap:
--- a/cloverhinge/net/buffered.py
+++ b/cloverhinge/net/buffered.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.buffer = bytearray()
         self.expected = 0
-        self.gone = False
+        self.gone = False  # the connection is closed, or closing
 
     def connectionMade(self) -> None:
         transport: Any = self.transport
--- a/cloverhinge/rtsp/client.py
+++ b/cloverhinge/rtsp/client.py
@@ -17,7 +17,7 @@
     """Implements the core's `ClientPort` for one session that was requested over RTSP."""
 
     def __init__(self, front: RtspFrontend, connection_handle: int, peer: str, session_id: str) -> None:
-        """`connection_handle` is that of the request's connection, or 0 if it is not at this router."""
+        """`connection_handle`: of the request's connection, 0 if the client has none to this router."""
         self.front, self.connection_handle, self.peer, self.session_id = (
             front,
             connection_handle,
@@ -60,21 +60,21 @@
         self.set_established(True)
         self._answer(200, None, answer)
 
-    def refused(self, hold_off_ms: float, ticket: str = "") -> None:
+    def refused(self, retry_after_ms: float, reservation_token: str = "") -> None:
         """Answer that the request was refused, with the time after which to retry and the reservation token.
 
         The admission queue's estimate may exceed the maximum of the settings, which is then sent instead; a
         client that comes back before its estimate gets a new time.
         """
-        sent_ms = min(hold_off_ms, self.front.router.settings.max_retry_after_us / 1000.0)
+        sent_ms = min(retry_after_ms, self.front.router.settings.max_retry_after_us / 1000.0)
         fields = {"X-Hold-Off": str(round(sent_ms))} if sent_ms > 0 else {}
-        if ticket:
-            fields["X-Ticket"] = ticket
+        if reservation_token:
+            fields["X-Ticket"] = reservation_token
         self._answer(503, fields)
 
-    def failed(self, why: Outcome | None) -> None:
+    def failed(self, outcome: Outcome | None) -> None:
         """Answer that the set-up failed or timed out."""
-        self._answer(504 if why is Outcome.TIMEOUT else 500)
+        self._answer(504 if outcome is Outcome.TIMEOUT else 500)
 
     def released(self, cause: Cause) -> None:
         """Tell the client that its session has ended."""
--- a/cloverhinge/rtsp/front.py
+++ b/cloverhinge/rtsp/front.py
@@ -130,10 +130,13 @@
     def set_up(self, connection: ClientConnection, received: ReceivedSetUp) -> None:
         """Pass a set-up to the core, or answer it.  Raises MalformedMessage if it is invalid.
 
-        The time that it waited since it was read is subtracted from its time limit.
+        A session that exists here without its client's connection is attached to this one instead; one that
+        the client reports as playing at a media server already is adopted.
+
+        The time that the set-up waited since it was read is subtracted from its time limit.
         """
         message = received.message
-        set_up, at = parse_set_up(message)
+        set_up, playing_at = parse_set_up(message)  # the server's id, or "" for a new session
         set_up = replace(set_up, wait_ms=max(0.0, set_up.wait_ms - (self.clock.now() - received.read_ms)))
         if set_up.class_name not in self.router.classes:
             raise messages.MalformedMessage("unknown class", 400)
@@ -153,10 +156,12 @@
                 reservation_token=message.headers.get("x-ticket", ""),
             )
         client = RtspClient(self, connection.handle, connection.peer, set_up.session_id)
-        if self.replicated_answer is not None and self._reattach(connection, set_up.session_id, bool(at)):
+        if self.replicated_answer is not None and self._reattach(
+            connection, set_up.session_id, bool(playing_at)
+        ):
             return
-        if at:
-            if self.router.adopt(set_up, server_number(at), client, self.servers) is not None:
+        if playing_at:
+            if self.router.adopt(set_up, server_number(playing_at), client, self.servers) is not None:
                 client.set_established(True)
         elif set_up.session_id in self.router.by_session_id:
             connection.send(messages.encode_response(455, "1", set_up.session_id))
@@ -173,7 +178,7 @@
         """Attach an established session whose connection is gone to the connection that requests it again.
 
         This is the case after a takeover from another router, or when the client reconnects.  `established`
-        tells that the client handed the session over as playing, in which case no answer is due.  Returns
+        says that the client reports the session as playing already, in which case no answer is due.  Returns
         False if there is no such session.
         """
         request = self.router.by_session_id.get(session_id)
@@ -207,8 +212,8 @@
                 continue
             left += 1
             young = not connection.has_sent_message and now - connection.opened_ms < FIRST_SET_UP_GRACE_MS
-            owed = connection.unanswered or len(connection.queue)
-            if not owed and not young and not connection.mid_message and not connection.unread:
+            has_unanswered = connection.unanswered or len(connection.queue)
+            if not has_unanswered and not young and not connection.mid_message and not connection.unread:
                 connection.half_closed_ms = now
                 connection.half_close()
         return left
@@ -218,7 +223,7 @@
 
         It goes to the session's connection, else to the connection of the client's host that sent a message
         last, else to any connection that sent one last.  Connections without a complete message are excluded,
-        as they may not be a client's.  Without any connection the message is kept for a later one.
+        as they may not be a client's.  Without any connection the message is stored for a later one.
         """
         connection = self.connections.get(client.connection_handle)
         if connection is None or connection.gone:
@@ -231,7 +236,7 @@
             self.undelivered.append((self.clock.now(), data))
 
     def first_message_received(self, connection: ClientConnection) -> None:
-        """Send the kept messages: the connection's first complete message shows that it is a client's."""
+        """Send the stored messages: the connection's first complete message shows that it is a client's."""
         while self.undelivered:
             connection.send(self.undelivered.popleft()[1])
 
--- a/cloverhinge/rtsp/intake.py
+++ b/cloverhinge/rtsp/intake.py
@@ -87,24 +87,25 @@
     def __init__(self, deadlines: Deadlines) -> None:
         self.deadlines = deadlines
         self._sources: deque[SetUpSource] = deque()
-        self._known: set[SetUpSource] = set()
+        self._registered: set[SetUpSource] = set()
         self._scheduled = False
 
     def offer(self, source: SetUpSource) -> None:
         """Register a source whose queue may have become non-empty; begin at once if no other source waits."""
-        if not len(source.queue) or source in self._known:
+        if not len(source.queue) or source in self._registered:
             return
-        self._known.add(source)
+        self._registered.add(source)
         self._sources.append(source)
         if not self._scheduled:
             self._run_turn()
 
     def cancel(self, session: str) -> None:
         """Remove a session's set-ups from all queues; the cancellation may arrive on any connection."""
-        for source in self._known:
+        for source in self._registered:
             source.queue.cancel(session)
 
     def _run_turn(self) -> None:
+        """Begins set-ups in turn until MAX_TURN_MS is over; runs again later if some are left."""
         self._scheduled = True  # sources offered during this turn are appended
         clock = self.deadlines.clock
         until_ms = clock.now() + MAX_TURN_MS
@@ -115,7 +116,7 @@
             if len(source.queue):
                 self._sources.append(source)
             else:
-                self._known.discard(source)
+                self._registered.discard(source)
         self._scheduled = bool(self._sources)
         if self._scheduled:
             self.deadlines.after(0.0, self._run_turn)
--- a/cloverhinge/rtsp/media_servers.py
+++ b/cloverhinge/rtsp/media_servers.py
@@ -49,7 +49,7 @@
         self.pools: dict[int, ServerPool] = {}
         self.unlisted: list[ServerPool] = []
         self.probe_count = 0
-        self.process_count = 1  # processes that share one router's place and its allowance of connections
+        self.process_count = 1  # processes that act as one router and share its limit of connections
         router.prober = self
         self.is_handed_over: Callable[[str], bool] = (
             lambda name: False
@@ -104,7 +104,8 @@
     def give_up(self, attempt: Attempt) -> None:
         """Cancel an attempt that waits or is under way.
 
-        All pools of the server are searched, since it may have been listed again at another address.
+        A connection on which the attempt has timed out is retired.  All pools of the server are
+        searched, since it may have been listed again at another address.
         """
         session_id = attempt.request.set_up.session_id
         for pool in self._pools_of(attempt.server):
@@ -117,7 +118,7 @@
                         messages.encode_request("TEARDOWN", "rtsp://media/session", 2, session_id)
                     )
                     if self.clock.now() >= attempt.until_ms:
-                        pool.retire(connection)  # it left a set-up unanswered until its time was over
+                        pool.retire(connection)  # the server left the set-up unanswered until its timeout
 
     def _pools_of(self, server: int) -> list[ServerPool]:
         """The listed pool of this server, and the unlisted ones that are still open."""
--- a/cloverhinge/rtsp/messages.py
+++ b/cloverhinge/rtsp/messages.py
@@ -104,7 +104,10 @@
 
 
 def body_length(message: Message) -> int:
-    """Return the length of the body in bytes.  Raises MalformedMessage if Content-Length is invalid."""
+    """Return the length of the body in bytes; 0 without Content-Length.
+
+    Raises MalformedMessage if the header is not a number of at most nine digits.
+    """
     text = message.headers.get("content-length", "0")
     if not re.fullmatch(r"[0-9]{1,9}", text):
         raise MalformedMessage("Content-Length is not a number")
--- a/cloverhinge/rtsp/server_messages.py
+++ b/cloverhinge/rtsp/server_messages.py
@@ -9,6 +9,7 @@
 
 def parse_load_report(message: messages.Message) -> api.LoadReport | None:
     """Read the load report in a message; values that are not numbers are ignored.  None if there is none."""
+    # Of the server: `outstanding` streams, `x0` the load of its link, `x1` that of its uplink.
     fields = messages.parse_pairs(message.headers.get("x-circuits", ""))
     figures: dict[str, float] = {}
     for name, value in fields.items():
@@ -24,7 +25,7 @@
 def parse_session_event(message: messages.Message, request: Request, server: int) -> api.Event | None:
     """Read a media server's note on a session; None if it is of an unknown kind.
 
-    Raises MalformedMessage if its value is missing or no number.
+    Raises MalformedMessage if its value is missing or not a number.
     """
     value = message.number("x-reading")
     match message.headers.get("x-why"):
--- a/cloverhinge/rtsp/server_pool.py
+++ b/cloverhinge/rtsp/server_pool.py
@@ -32,7 +32,7 @@
 IDLE_TIMEOUT_SHARE = 0.6  # of the idle time limit: a connection without traffic for this long is retired
 HALF_CLOSED_TIMEOUT_MS = 1500.0  # how long a retired connection is read after it was half-closed
 SPARE_TIMEOUT_MS = 5000.0  # a connection beyond the first is closed after this long without a set-up
-MAX_UNSENT = 256  # messages kept for an unreachable server; beyond it the oldest is discarded
+MAX_UNSENT = 256  # messages queued for an unreachable server; beyond it the oldest is discarded
 OUTCOME_BY_STATUS = {453: Outcome.FULL, 454: Outcome.MOOT, 504: Outcome.RESET}
 OUTCOME_BY_CAUSE = {"16": Outcome.SERVED, "31": Outcome.CANCELLED, "41": Outcome.RESET}
 
@@ -106,7 +106,7 @@
         connection.opened_ms = connection.last_set_up_ms = connection.last_traffic_ms = (
             self.last_message_ms
         ) = self.servers.clock.now()
-        if not self.listed:  # opened to send what is left
+        if not self.listed:  # opened to send the unsent messages
             self.retiring.append(connection)
             self._send_unsent(connection)
             return
@@ -136,7 +136,10 @@
             self.retiring.append(connection)
 
     def connect_failed(self, refused: bool) -> None:
-        """End what waits if no connection is open; sessions of a server that keeps refusing are lost."""
+        """End the waiting attempts and probes if no connection is open.
+
+        Sessions of a server that keeps refusing connections are lost.
+        """
         self.opening -= 1
         now = self.servers.clock.now()
         self.retry_at_ms, self.backoff_ms = (
@@ -183,7 +186,7 @@
         elif self.needs_connection:
             self.open()
         for attempt in attempts:
-            # The server may have run it and hold a session that nobody owns.
+            # The server may have run it and hold a session that no router owns.
             self.send_on_any(encode_release(attempt.request.set_up.session_id, Cause.CANCELLED))
             self.servers.router.attempt_ended(attempt, Outcome.RESET)
         for probe in probes:
@@ -231,10 +234,10 @@
             self.write(connection, self.waiting.pop(0))
 
     def send_on_any(self, data: bytes) -> None:
-        """Send a message about a session on any connection, or keep it for the next one.
+        """Send a message about a session on any connection, or queue it for the next one.
 
         This includes the connections of a server that has left the list and drains, since otherwise it would
-        keep sessions that nobody owns.
+        keep sessions that no router owns.
         """
         writable = self.connections or [x for x in self.retiring if x.half_closed_ms is None and not x.gone]
         if writable:
@@ -275,7 +278,7 @@
                 outcome = OUTCOME_BY_STATUS.get(message.status, Outcome.ERROR)
                 router.attempt_ended(attempt, outcome, parse_load_report(message))
         elif attempt is None or not router.answered(attempt, message.body):
-            # The set-up was given up while its answer was in flight: release the session, which nobody owns.
+            # The set-up was given up while its answer was in flight: no router owns the session; release it.
             request = router.by_session_id.get(session_id)
             if (request is None or request.server != self.address.number) and not self.servers.is_handed_over(
                 session_id
@@ -352,7 +355,10 @@
             self.open()
 
     def unlist(self) -> None:
-        """End what waits and retire all connections, as the server has left the list."""
+        """End the waiting attempts and probes and retire all connections, as the server has left the list.
+
+        Messages in `unsent` stay, for a connection that is still being opened.
+        """
         self.listed = False
         waiting, self.waiting = self.waiting, []
         for item in waiting:
