--- a/cloverhinge/ownership/component.py
+++ b/cloverhinge/ownership/component.py
@@ -343,7 +343,7 @@
         self._act(self.core.find(now, self._add_call(call), id, now + timeout_ms, owned_deadline_ms))
 
     def end(self, id: str) -> None:
-        """The front has forgotten the record: it is over."""
+        """Marks a record as over, which the front has forgotten."""
         self.update_phase(id, Phase.OVER)
 
     def update_phase(self, id: str, phase: Phase) -> None:
@@ -427,7 +427,7 @@
             self.router.conclude_unsent(request, failed=verdict in (Verdict.FINAL, Verdict.TAKEN_OVER))
 
     def _on_claimed(self, request: Request, verdict: Verdict, work: Work | None) -> None:
-        """After the claim of a request that was sent, or established, before: writes its present state."""
+        """Writes the present state of a request that was sent, or established, before its claim succeeded."""
         id = self._record_id(request)
         if verdict not in (Verdict.NEW, Verdict.TAKEN_OVER) or work is None:
             return
--- a/cloverhinge/ownership/core.py
+++ b/cloverhinge/ownership/core.py
@@ -162,7 +162,7 @@
     def update_members(
         self, members: Mapping[Member, int], earlier_run_known: bool, spare_capacity: Mapping[str, float]
     ) -> None:
-        """Takes a changed membership, or changed spare capacities.
+        """Applies a changed membership, or changed spare capacities.
 
         `members` maps each living member to its incarnation; `earlier_run_known`: others remember an earlier
         run of this router's name; `spare_capacity`: by member id.
@@ -591,7 +591,7 @@
             self._send_item(member_id, wire.LeaseNotGranted(request.seq))
 
     def _confirm_request(self, member_id: str, seq: int) -> float | None:
-        """When the answered request was sent, if it still counts; both directions have worked since then."""
+        """Returns when the answered request was sent, if it still counts: both directions worked since."""
         peer = self.peers[member_id]
         sent = peer.pending_requests.pop(seq, None)
         if sent is not None:
@@ -617,7 +617,7 @@
         )
 
     def _on_owned_records_page(self, now: float, member_id: str, page: wire.OwnedRecordsPage) -> None:
-        """Replicas name this router as the owner, which may not know of it where a hand-over was lost."""
+        """Acquires the listed records that are not known to be owned here, as where a hand-over was lost."""
         peer = self.peers[member_id]
         peer.listed_up_to = "" if page.last or not page.ids else page.ids[-1]
         if not page.last:
@@ -638,7 +638,7 @@
                 )
 
     def _on_lease_lapsed(self, now: float, member_id: str, lapsed: wire.LeaseLapsed) -> None:
-        """Another router may have reached that replica meanwhile: all its records are written to it again."""
+        """Writes all records again to a replica that another router may have written to meanwhile."""
         peer = self.peers[member_id]
         if self._confirm_request(member_id, lapsed.seq) is None or lapsed.generation <= peer.generation:
             return
@@ -784,7 +784,7 @@
         self.replica_sets.enter(now, replica_set)
         self.replica.enter_replica_set(replica_set.number)
         if self._restored_unconfirmed and not self.replica_sets.is_source:
-            # The others went on without this router: records that expired there since must not come back.
+            # The others continued without this router: records that expired there must not be restored.
             self.replica.forget_all()
         self._restored_unconfirmed = False
         self._unacknowledged_parts.clear()
@@ -813,9 +813,8 @@
             ):
                 # Newer writes may have been lost: it is owned under a new term, or not at all.
                 self._reacquire(now, record)
-        for (
-            member
-        ) in replica_set.members:  # whoever enters it announces it, first the one that completed the vote
+        # Each router that enters a replica set announces it, first the router that completed the vote.
+        for member in replica_set.members:
             if member.member_id != self.own_id:
                 self._send_item(member.member_id, wire.ReplicaSetAnnouncement(replica_set))
         for peer in self.peers.values():
@@ -961,7 +960,7 @@
                 self._send_to_replicas(now, record)
 
     def _on_chosen(self, now: float, record: OwnedRecord) -> None:
-        """A majority of replicas holds what was written last."""
+        """Called once a majority of replicas holds the last write of the record."""
         if record.chosen == record.ballot:
             return
         record.chosen = record.ballot
@@ -1390,5 +1389,5 @@
         self._ownerless[due_ms, id] = None
 
     def _unqueue(self, id: str) -> None:
-        """A viewer's request comes before the take-over; the entry left in the queue finds nothing to do."""
+        """Cancels a take-over, as a viewer requests the record; the entry left in the queue has no effect."""
         self._queued.discard(id)
--- a/cloverhinge/ownership/replica_sets.py
+++ b/cloverhinge/ownership/replica_sets.py
@@ -310,7 +310,7 @@
     def on_promised(
         self, now: float, member_id: str, promised: wire.ReplicaSetPromised, runs: RunsByName
     ) -> Outgoing:
-        """Takes a promise; returns the writes to send once a quorum has promised."""
+        """Counts a promise; returns the writes to send once a quorum has promised."""
         proposal = self._proposal
         if (
             proposal is None
@@ -330,7 +330,7 @@
     def on_written(
         self, member_id: str, written: wire.ReplicaSetWritten, runs: RunsByName
     ) -> ReplicaSet | None:
-        """Takes an acceptance; returns the next replica set once it is decided."""
+        """Counts an acceptance; returns the next replica set once it is decided."""
         proposal = self._proposal
         if (
             proposal is None
@@ -344,7 +344,7 @@
         return proposal.writing if self.is_quorum(proposal.written, runs) else None
 
     def on_refused(self, now: float, refused: wire.ReplicaSetRefused) -> None:
-        """Takes a refusal: the proposal is repeated later with a higher ballot."""
+        """Handles a refusal: the proposal is repeated later with a higher ballot."""
         if self._proposal is not None and refused.ballot == self._proposal.ballot:
             self._promised = max(self._promised, refused.promised)
             self._proposal.begun_ms = -1e12  # repeated with a higher ballot after the back-off
--- a/cloverhinge/rtsp/intake.py
+++ b/cloverhinge/rtsp/intake.py
@@ -105,7 +105,7 @@
             source.queue.cancel(session)
 
     def _run_turn(self) -> None:
-        """Begins set-ups in turn until MAX_TURN_MS is over; runs again later if some are left."""
+        """Begin set-ups in turn until MAX_TURN_MS is over; run again later if some are left."""
         self._scheduled = True  # sources offered during this turn are appended
         clock = self.deadlines.clock
         until_ms = clock.now() + MAX_TURN_MS
--- a/cloverhinge/store/proof.py
+++ b/cloverhinge/store/proof.py
@@ -32,7 +32,7 @@
         self.changed: set[str] = set()  # names whose mark is new or dropped; cleared by the reader
 
     def note(self, name: str, mark: Mark) -> None:
-        """Takes a mark that was received."""
+        """Notes a mark that was received."""
         if mark > self.latest_marks.get(name, NO_MARK):
             self.latest_marks[name] = mark
             self.latest_marks.move_to_end(name)
@@ -68,7 +68,7 @@
         self.answers: dict[str, bool] = {}
 
     def add_answer(self, name: str, claim: Mark, allows: bool) -> None:
-        """Takes an answer; answers to another claim belong to an earlier run, and are ignored."""
+        """Counts an answer; answers to another claim belong to an earlier run, and are ignored."""
         if claim == self.claim and name in self.names and name != self.own_name:
             self.answers[name] = self.answers.get(name, True) and allows
 
