--- a/cloverhinge/ownership/core.py
+++ b/cloverhinge/ownership/core.py
@@ -104,7 +104,8 @@
         self._pending_hand_overs: OrderedDict[str, tuple[str, wire.HandOver, float, float]] = OrderedDict()
         self._unacknowledged_parts: dict[tuple[str, int], tuple[wire.TransferPart, float]] = {}
         self._received_parts: dict[str, set[int]] = {}
-        self._replica_counts: Counter[str] = Counter()  # records owned here, by the replica
+        # Number of records owned here, by member id of the replica.
+        self._replica_counts: Counter[str] = Counter()
         # Records that were prepared here and given up before the set-up was sent.
         self._unused: OrderedDict[str, None] = OrderedDict()
         self._last_ballot: Ballot = NO_BALLOT
@@ -161,7 +162,7 @@
     def update_members(
         self, members: Mapping[Member, int], earlier_run_known: bool, spare_capacity: Mapping[str, float]
     ) -> None:
-        """Takes a changed membership, or changed spare capacities.
+        """Applies a changed membership, or changed spare capacities.
 
         `members` maps each living member to its incarnation; `earlier_run_known`: others remember an earlier
         run of this router's name; `spare_capacity`: by member id.
@@ -326,7 +327,10 @@
         self._write_record(now, record, register.with_next_owner(record.work, to))
 
     def receive(self, now: float, member: Member, data: bytes) -> list[Action]:
-        """Handles a message from another router.  Raises MessageError where it cannot be decoded."""
+        """Handles a message from another router.  Raises MessageError where it cannot be decoded.
+
+        The message is ignored where its sender is new and the table of peers is full.
+        """
         message = wire.decode(data)
         member_id = member.member_id
         peer = self.peers.get(member_id)
@@ -504,7 +508,7 @@
             self._restored_unconfirmed = True
             self._actions.append(
                 LogMessage(
-                    f"its store is complete: {len(restored.slots)} records, roster "
+                    f"its store is complete: {len(restored.slots)} records, replica set "
                     f"{self.replica_sets.number}"
                 )
             )
@@ -517,7 +521,10 @@
     # Leases
 
     def _request_leases(self, now: float, at_once: bool = False) -> None:
-        """Sent to all living members: those that hold no replica for this router learn that it takes part."""
+        """Requests a lease from each alive member whose last request is old enough, or (`at_once`) from all.
+
+        Members that hold no replica of this router's records learn by it that this router takes part.
+        """
         for member_id in self.alive:
             peer = self.peers[member_id]
             if at_once or now - peer.requested_ms >= self.rules.lease_ms / RENEWALS_PER_LEASE:
@@ -584,7 +591,7 @@
             self._send_item(member_id, wire.LeaseNotGranted(request.seq))
 
     def _confirm_request(self, member_id: str, seq: int) -> float | None:
-        """When the answered request was sent, if it still counts; both directions have worked since then."""
+        """Returns when the answered request was sent, if it still counts: both directions worked since."""
         peer = self.peers[member_id]
         sent = peer.pending_requests.pop(seq, None)
         if sent is not None:
@@ -610,7 +617,7 @@
         )
 
     def _on_owned_records_page(self, now: float, member_id: str, page: wire.OwnedRecordsPage) -> None:
-        """Replicas name this router as the owner, which may not know of it where a hand-over was lost."""
+        """Acquires the listed records that are not known to be owned here, as where a hand-over was lost."""
         peer = self.peers[member_id]
         peer.listed_up_to = "" if page.last or not page.ids else page.ids[-1]
         if not page.last:
@@ -631,7 +638,7 @@
                 )
 
     def _on_lease_lapsed(self, now: float, member_id: str, lapsed: wire.LeaseLapsed) -> None:
-        """Another router may have reached that replica meanwhile: all its records are written to it again."""
+        """Writes all records again to a replica that another router may have written to meanwhile."""
         peer = self.peers[member_id]
         if self._confirm_request(member_id, lapsed.seq) is None or lapsed.generation <= peer.generation:
             return
@@ -777,7 +784,7 @@
         self.replica_sets.enter(now, replica_set)
         self.replica.enter_replica_set(replica_set.number)
         if self._restored_unconfirmed and not self.replica_sets.is_source:
-            # The others went on without this router: records that expired there since must not come back.
+            # The others continued without this router: records that expired there must not be restored.
             self.replica.forget_all()
         self._restored_unconfirmed = False
         self._unacknowledged_parts.clear()
@@ -806,9 +813,8 @@
             ):
                 # Newer writes may have been lost: it is owned under a new term, or not at all.
                 self._reacquire(now, record)
-        for (
-            member
-        ) in replica_set.members:  # whoever enters it announces it, first the one that completed the vote
+        # Each router that enters a replica set announces it, first the router that completed the vote.
+        for member in replica_set.members:
             if member.member_id != self.own_id:
                 self._send_item(member.member_id, wire.ReplicaSetAnnouncement(replica_set))
         for peer in self.peers.values():
@@ -876,22 +882,25 @@
         item: wire.Prepare | wire.Write,
         set_id: tuple[int, int],
     ) -> wire.Items:
-        active = self.replica_sets.active_since_ms
+        """Answers a prepare or write request; refuses where this router does not vote on records now."""
+        active_since_ms = self.replica_sets.active_since_ms
         if (
             set_id != self._set_id
-            or active is None
+            or active_since_ms is None
             or not self._majority_reachable(now)
             or self.replica_sets.vote_suspended
         ):
             return wire.Refused(item.id, item.ballot, RefusalReason.REPLICA_SET)
-        written = self.replica.slots.get(item.id, register.EMPTY_SLOT).accepted[0]
+        written_counter = self.replica.slots.get(item.id, register.EMPTY_SLOT).accepted[0]
         hole = any(
-            placement.may_be_lost(item.id, written, x, self.rules.tolerated_losses + 1)
+            placement.may_be_lost(item.id, written_counter, x, self.rules.tolerated_losses + 1)
             for x in self.replica_sets.holes
         )
         if isinstance(item, wire.Write):
             return self.replica.write(now, member_id, item, hole)
-        if hole and now - active < HOLE_WAIT_MS:
+        if hole and now - active_since_ms < HOLE_WAIT_MS:
+            # The record may have been lost, and its owner may still write it again: refused as by a replica
+            # that does not vote yet, so that the proposer tries again later.
             return wire.Refused(item.id, item.ballot, RefusalReason.REPLICA_SET)
         return self.replica.prepare(now, member_id, item, hole)
 
@@ -951,7 +960,7 @@
                 self._send_to_replicas(now, record)
 
     def _on_chosen(self, now: float, record: OwnedRecord) -> None:
-        """A majority of replicas holds what was written last."""
+        """Called once a majority of replicas holds the last write of the record."""
         if record.chosen == record.ballot:
             return
         record.chosen = record.ballot
@@ -1380,5 +1389,5 @@
         self._ownerless[due_ms, id] = None
 
     def _unqueue(self, id: str) -> None:
-        """A viewer's request comes before the take-over; the entry left in the queue finds nothing to do."""
+        """Cancels a take-over, as a viewer requests the record; the entry left in the queue has no effect."""
         self._queued.discard(id)
