--- a/cloverhinge/decision/capacity.py
+++ b/cloverhinge/decision/capacity.py
@@ -66,7 +66,10 @@
 
 
 def fitting_sessions(controller: Controller, server: Server, rate_kb: float, load_limit: float) -> int:
-    """Returns the sessions of a rate that a server has capacity for up to a load; at least 1, as one fits."""
+    """Returns how many sessions of a rate fit on a server up to a load limit.
+
+    At least 1: the caller has checked that one fits.
+    """
     link, uplink, places = server.link, server.uplink, server.places
     return max(
         1,
--- a/cloverhinge/decision/interface.py
+++ b/cloverhinge/decision/interface.py
@@ -61,7 +61,7 @@
 
 
 class ListKind(Enum):
-    """What a fleet update holds: a full list, one from a cache, changes, or the failure to get a list."""
+    """What a fleet update contains: a full list, one from a cache, changes, or the failure to get a list."""
 
     FULL = "full"
     CACHED = "cached"
@@ -118,7 +118,7 @@
     notes_late_us: int = 1_000_000  # delay of load notes
     told_every_us: int = 0  # time between load notes on playing sessions; 0 = none
     stall_cost: float = 0.0  # share of worth lost for each share of the rate that is missing
-    switch_s: float = 0.0  # seconds of a class's worth that a change of rung costs
+    switch_s: float = 0.0  # cost of a change of rung, in seconds of the class's worth
     max_attempts: int = 1
     max_retry_after_us: int = 0
     retry_after: bool = True
@@ -130,10 +130,10 @@
     cross_zone_price: float = 0.0  # share of worth lost while viewer and server are in different zones
     cold_us: int = 0  # time that a server takes to warm up; 0 = none
     cold_from: float = 1.0  # share of its capacity that a cold server starts with
-    fall_multiple: float = 0.0
-    drain_grace_us: int = 0
+    fall_multiple: float = 0.0  # validated only; the decisions do not use it
+    drain_grace_us: int = 0  # likewise
     budget_free: float = 0.0  # further attempts within the span that are always allowed
-    budget_ratio: float = 0.0  # and those for each request within it
+    budget_ratio: float = 0.0  # further attempts allowed for each request within the span, besides
     budget_span_us: int = 0  # span of the budget of further attempts; 0 = no budget
 
     def rates(self, service_class: ServiceClass) -> list[float]:
@@ -141,7 +141,9 @@
         return [kb * service_class.rate_scale for kb in self.ladder_kb]
 
     def step_gains(self, service_class: ServiceClass) -> list[float]:
-        """Returns the worth of the step up to each rung for each kB; at the floor, of the whole rate."""
+        """Returns, for each rung, the worth of the step up to it per kB/s; for the floor and the rungs below
+        it, the worth of the rung per kB/s of its whole rate.
+        """
         worth, kb = self.rung_worth, self.rates(service_class)
         return [
             service_class.worth
@@ -195,13 +197,13 @@
             "budget_span_us",
         ):
             checks.append((name, getattr(self, name) < 0))
-        for at, one in enumerate(self.classes):
+        for index, service_class in enumerate(self.classes):
             for name in ("aim_us", "deadline_us", "worth", "floor", "top", "seats", "key_ttl_us"):
-                checks.append((f"classes[{at}].{name}", getattr(one, name) < 0))
-            checks.append((f"classes[{at}].floor", one.floor > min(last, one.top)))
-            checks.append((f"classes[{at}].rate_scale", not one.rate_scale > 0))
-        for at, tenant in enumerate(self.tenants):
-            checks.append((f"tenants[{at}].quota_per_s", tenant.quota_per_s < 0))
+                checks.append((f"classes[{index}].{name}", getattr(service_class, name) < 0))
+            checks.append((f"classes[{index}].floor", service_class.floor > min(last, service_class.top)))
+            checks.append((f"classes[{index}].rate_scale", not service_class.rate_scale > 0))
+        for index, tenant in enumerate(self.tenants):
+            checks.append((f"tenants[{index}].quota_per_s", tenant.quota_per_s < 0))
         for name, wrong in checks:
             if wrong:
                 raise ValueError(f"settings: {name} makes no sense")
@@ -221,7 +223,7 @@
     health: Health = Health.READY
     weight: float = 1.0
     started_us: int = 0  # time of its latest start; 0 = long ago
-    after_maintenance: bool = False  # put back by an operator: what was learned of it before is void
+    after_maintenance: bool = False  # its maintenance mode has ended: what was learned of it before is void
 
 
 @dataclass(frozen=True, slots=True)
@@ -379,7 +381,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Refuse the request; the viewer may come again after this time (0 = not stated)."""
+    """Refuse the request; the viewer may retry after this time (0 = not stated)."""
 
     session: int
     retry_after_us: int
--- a/cloverhinge/decision/loads.py
+++ b/cloverhinge/decision/loads.py
@@ -10,7 +10,8 @@
 from cloverhinge.decision import interface as api
 from cloverhinge.decision.state import Fleet, Limit, Server, Session, Sessions, SlidingCounter
 
-REQUEST_RATE_SPAN_US = 20_000_000  # own requests are counted over this span: about a session's length, steady
+# Own requests are counted over this span: about the length of a session, long enough for a steady count.
+REQUEST_RATE_SPAN_US = 20_000_000
 MAX_FRESH_LOAD_AGE_US = 4_500_000  # an older load is uncertain by the spread of loads over the fleet
 DEFAULT_LOAD_SPREAD = 0.25  # standard deviation assumed until loads are reported, typical of large fleets
 OVERLOAD_HARM = 3.0  # worth, in sessions, lost where one is sent to a link that turns out to be full
@@ -20,16 +21,20 @@
 
 
 class LoadEstimator:
-    """Load estimates and the admission test; holds the whole state of an instance."""
+    """Load estimates and the admission test.
+
+    As the base class of the Controller it also has the rest of an instance's state: fleet, sessions, tokens.
+    """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
-        self.classes = {one.name: one for one in settings.classes}
+        self.classes = {service_class.name: service_class for service_class in settings.classes}
         self.fleet = Fleet(settings)
+        # Server number of the token holder by title, least recently used first.
         self.tokens: dict[str, int] = {}
         self.sessions = Sessions()
         self.awaiting_probe: dict[int, list[Session]] = {}  # sessions by probed server
-        # Own requests, for the budget of further attempts and the request rate of peers.
+        # Own requests, for the budget of further attempts and as an estimate of each peer's request rate.
         self.requests = SlidingCounter(max(REQUEST_RATE_SPAN_US, settings.budget_span_us))
         self.load_statistics_cache: dict[int, tuple[float, float, float]] = {}  # valid for one event
         # Titles whose set-ups ended in errors: the servers, and the time of the last error.
@@ -45,18 +50,22 @@
             for x in settings.classes
         }
         self.large_fleet, ladder_kb = settings.fleet_size >= MIN_LARGE_FLEET, settings.ladder_kb
+        # Cost of a probe over the harm of an overload.  Divided by a rung's rate it is the probability of an
+        # overload from which on a probe pays.
         probe_cost = (
             max(settings.probe_price + settings.handshake_price, 1e-3)
             * sum(ladder_kb)
             / len(ladder_kb)
             / OVERLOAD_HARM
         )
-        # By rung, in standard deviations: where an overload is less probable, it costs less than a probe.
+        # By rung: how many standard deviations below the limit an uncertain load has to be, so that an
+        # overload is so improbable that a probe costs more.
         self.doubt_spreads = [
             NormalDist().inv_cdf(1 - min(probe_cost / x, 0.5)) if self.large_fleet else math.inf
             for x in ladder_kb
         ]
         self.max_gain: float = max(self.best_gains.values(), default=0) or 1
+        # `started_us` is -1 before the first event.
         self.started_us, self.now_us, self.actions = -1, 0, list[api.Action]()
 
     def log(self, category: str, text: str) -> None:
--- a/cloverhinge/decision/logic.py
+++ b/cloverhinge/decision/logic.py
@@ -30,7 +30,7 @@
     """The decision module of one instance.  It acts on events alone and keeps no clock."""
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Takes in an event and returns the actions that follow.  Events have to come in order of time."""
+        """Handles an event and returns the actions that follow.  Events have to come in order of time."""
         self.actions, self.now_us = [], now_us
         if self.started_us < 0:
             self.started_us = now_us
@@ -84,10 +84,14 @@
             case api.TimerFired(token):
                 self.actions.append(api.SetTimer(TICK_US, TICK) if token == TICK else api.Subscribe())
                 self.suspect_titles = {
-                    x: y for x, y in self.suspect_titles.items() if now_us - y[1] < SUSPECT_US
+                    title: suspicion
+                    for title, suspicion in self.suspect_titles.items()
+                    if now_us - suspicion[1] < SUSPECT_US
                 }
                 self.last_logged_us = {
-                    x: y for x, y in self.last_logged_us.items() if now_us - y < LOG_INTERVAL_US
+                    category: logged_us
+                    for category, logged_us in self.last_logged_us.items()
+                    if now_us - logged_us < LOG_INTERVAL_US
                 }
                 self.raise_rungs()
         return self.actions
@@ -122,12 +126,13 @@
     def token_holder(self, session: Session, holders: list[Server]) -> Server | None:
         """Returns the title's token holder, None where there are no holders.
 
-        A title without a token starts at the server that a hash picks; in a large fleet at the least-loaded
-        one with a connection, or with a reported load where there is no connection.
+        A title without a token starts at the server that a hash picks.  In a large fleet it starts at the
+        least-loaded server that admits the session at its ceiling and has a connection or, where none has, a
+        reported load; the hash picks only where there is no such server.
         """
         title = session.request.title
-        number = self.tokens.pop(title, None)
-        holder = next((s for s in holders if s.listing.server == number), None)
+        server_number = self.tokens.pop(title, None)
+        holder = next((s for s in holders if s.listing.server == server_number), None)
         if holder is None and holders:
             candidates = [
                 s
@@ -140,7 +145,8 @@
                 holders, key=lambda s: self.rendezvous_score(title, s)
             )
         if holder:
-            self.tokens[title] = holder.listing.server  # the last entry: the first is dropped below
+            # Re-inserted at the end: the dict is ordered by use, and its first entry is dropped below.
+            self.tokens[title] = holder.listing.server
         if len(self.tokens) > MAX_TOKENS:
             del self.tokens[next(iter(self.tokens))]
         return holder
@@ -202,7 +208,7 @@
             ),
             None,
         ):
-            return probed, -1  # by what is known of it, it has the capacity
+            return probed, -1  # as far as its load is known, it has the capacity
         for server in candidates:
             if self.fits(server, 0, math.inf):  # a stream is free
                 if chosen := self.free_capacity(session, server, session.service_class.floor - 1):
@@ -224,13 +230,13 @@
         )
 
     def probe_ended(self, event: api.ProbeEnded) -> None:
-        """Takes in the answer to a probe and sends the sessions that waited for it."""
+        """Applies the result of a probe, and continues the sessions that waited for it."""
         if server := self.fleet.servers.get(event.server):
             self.update_load(server, event.report or api.LoadReport(), self.now_us - REPORT_AGE_US)
             if event.outcome is not api.Outcome.SERVED:
                 self.mark_suspect(server, event.outcome.value)
             elif not server.failures:
-                server.suspect_until_us = self.now_us
+                server.suspect_until_us = self.now_us  # it works: no longer suspect
         for session in self.awaiting_probe.pop(event.server, []):
             if self.sessions.get(session.request.session) is session:
                 self.send_attempt(session)
@@ -309,7 +315,7 @@
     def refuse(self, session: Session, for_capacity: bool) -> None:
         """Gives the final answer at once: a refusal where that is allowed, otherwise a failure.
 
-        With `for_capacity` it could be sent but no server took it, and own sessions may step down.
+        `for_capacity`: the request could be sent but no server took it, so own sessions may step down.
         """
         effect = session.service_class.effect
         if for_capacity:
@@ -332,7 +338,7 @@
         self.sessions.pop(session.request.session, None)
 
     def attempt_ended(self, event: api.AttemptEnded) -> None:
-        """Takes in the end of an attempt or session; a request that is still open gets its next attempt."""
+        """Handles the end of an attempt or session; a request that is still open gets its next attempt."""
         session, server = self.sessions.get(event.session), self.fleet.servers.get(event.server)
         if server:
             self.update_load(server, event.report or api.LoadReport(), self.now_us - REPORT_AGE_US)
@@ -344,6 +350,6 @@
         self.remove_session(session)
         if not event.concluded:
             self.sessions[event.session] = session
-            if not event.outcome.never_ran:  # kept even where the server has left the list
+            if not event.outcome.never_ran:  # recorded even where the server has left the list
                 session.may_have_run_at, session.may_have_run_us = attempted_server, self.now_us
             self.send_attempt(session)
--- a/cloverhinge/decision/rungs.py
+++ b/cloverhinge/decision/rungs.py
@@ -91,7 +91,7 @@
     ) -> bool:
         """Adds the cheapest steps down to `planned` until no limit exceeds its target.
 
-        `over` holds the excess of each limit in kB a second and is updated.  With `randomize_last` the last
+        `over` has the excess of each limit in kB a second and is updated.  With `randomize_last` the last
         step, which frees more than is needed, is taken only with the probability of the part that is needed.
         Returns False where the excess remains because no step is left that costs `max_cost` or less.
         """
--- a/cloverhinge/decision/state.py
+++ b/cloverhinge/decision/state.py
@@ -16,7 +16,7 @@
     Settings,
 )
 
-BOOKING_HISTORY_US = 10_000_000  # bookings are kept one by one for so long; older loads are not used
+BOOKING_HISTORY_US = 10_000_000  # bookings are stored one by one for so long; older loads are not used
 UNKNOWN_CAPACITY = 1e12  # of a limit that the settings do not state
 
 
@@ -44,7 +44,7 @@
     sessions: dict[int, Session] = field(default_factory=dict)
 
     def book(self, now_us: int, amount: float) -> None:
-        """Books an amount, negative to release it, and keeps the history that `measured_us` still needs."""
+        """Books an amount, negative to release it, and retains the history that `measured_us` still needs."""
         self.booked += amount
         if self.history and self.history[-1][0] == now_us:
             self.history.pop()
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A media server as listed, its limits and what failures taught of it."""
+    """A media server as listed, its limits and what its failures showed."""
 
     listing: ServerListing
     link: Limit
@@ -98,7 +98,7 @@
     failures: int = 0  # failures not yet made good by successes
     suspect_until_us: int = 0
     failed_titles: set[str] = field(default_factory=set)  # titles that failed here since it last served one
-    trial_pending: bool = False  # an attempt that tests it after a failure is out
+    trial_pending: bool = False  # an attempt that tests it after a failure is pending
     used: bool = False  # a set-up was sent to it, so a connection is open already
 
     @property
@@ -122,7 +122,9 @@
         return self.link, self.places, self.uplink
 
     def reset(self, now_us: int) -> None:
-        """Forgets its failures and reported loads after maintenance; its load is now what is booked here."""
+        """Forgets its failures and reported loads after maintenance; link and places count as loaded by what
+        is booked here.  The rack uplink is shared and stays as it is.
+        """
         self.failures, self.suspect_until_us, self.trial_pending, self.next_setup_us = 0, 0, False, 0
         self.failed_titles.clear()
         for limit in (self.link, self.places):
@@ -161,9 +163,10 @@
             limit.sessions[self.request.session] = self
 
     def book_existing(self, now_us: int, server: Server, rung: int) -> None:
-        """Books a session that played there before this instance knew of it, at the rung now reported.
+        """Books a session's rate at this rung as load that was there before this instance knew of it: for a
+        session taken over, or one whose server reports another rung.
 
-        Guards against counting handed-over sessions twice: in the reported load, and as growth since.
+        Such load may be part of the reported load already, so it must not also count as growth since.
         """
         kb, place = self.rates[rung] - self.rate_kb, 0.0 if self.server else 1.0
         self.server, self.rung, self.rate_kb = server, rung, self.rates[rung]
--- a/cloverhinge/decision/upgrade_overlap.py
+++ b/cloverhinge/decision/upgrade_overlap.py
@@ -1,7 +1,7 @@
 """State that the instances of one router exchange during an upgrade overlap, while two processes run.
 
-Nothing is decided here: an instance imports what the other has learned, and the fleet size that it reckons
-with is multiplied by the number of instances.
+Nothing is decided here: an instance imports what the other has learned, and the fleet size that it
+assumes is multiplied by the number of instances.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 def export_learned(controller: Controller) -> LearnedState:
     """Returns what an instance has learned that another one could not learn as soon.
 
-    Loads inferred from own sessions that fell short are left out, as they do not describe the present.
+    Loads inferred from own sessions that fell short are excluded, as they do not describe the present.
     """
     servers = {}
     for number, server in controller.fleet.servers.items():
--- a/cloverhinge/wirehost.py
+++ b/cloverhinge/wirehost.py
@@ -27,9 +27,10 @@
     6: api.Outcome.CANCELLED,
     7: api.Outcome.MOOT,
 }
-MOVED_FLAG, RETURNING_FLAG, LENGTH_HINT_FLAG = 8, 16, 1
+MOVED_FLAG, RETURNING_FLAG, LENGTH_HINT_FLAG = 8, 16, 1  # bits of the `bits` of a "knock" or "carried"
 
-# The fewest values that each message may have, by its name.
+# The fewest values that each message may have, by its name; the name of the instance counts as one.
+# A "knock" or "carried" with just that many passes this check, but is malformed: its parser needs one more.
 MIN_VALUES = {
     "born": 3,
     "down": 1,
@@ -123,7 +124,7 @@
 
 
 def parse_note(values: list[Any]) -> api.Event | None:
-    """Translates an "interim": a note on a playing session."""
+    """Translates an "interim": a report on a playing session, which may be a load note."""
     session, _attempt, server, note_kind, value = values[:5]
     if note_kind == 1:
         return api.DeliveredShare(session, server, float(value))
@@ -133,7 +134,7 @@
         return api.LinkNote(session, server, float(value))
     if note_kind == 4:
         return api.UplinkNote(session, server, float(value))
-    return None  # an unknown kind of note
+    return None  # an unknown kind of report
 
 
 def parse_attempt_ended(values: list[Any]) -> api.AttemptEnded:
@@ -150,6 +151,7 @@
     return api.ProbeEnded(server, OUTCOMES[disposition], int(took or 0), parse_report(stats))
 
 
+# A "first" has the session, the server, a value that is not used here, and the number of the attempt.
 PARSERS: dict[str, Callable[[list[Any]], api.Event | None]] = {
     "knock": parse_request,
     "carried": parse_carried,
@@ -164,7 +166,7 @@
 
 
 def encode(name: str, action: api.Action) -> list[Any]:
-    """Returns the decision that an action of an instance is sent as."""
+    """Encodes an action of an instance as a decision of the simulator's protocol."""
     match action:
         case api.SetUp(session, server, timeout_us):
             return ["assign", name, session, timeout_us, server]
