--- a/cloverhinge/config.py
+++ b/cloverhinge/config.py
@@ -20,9 +20,9 @@
 
     name: str
     listen: tuple[str, int]  # for RTSP clients
-    seed: int
-    memory_mb: int
-    sockets: int  # how many the process may open
+    seed: int  # of the random choices
+    memory_mb: int  # memory limit of the process
+    sockets: int  # most sockets that the process may open
     changelog: tuple[str, int]  # address of the media servers' change log
     seq: int  # number of the last update in `initial_updates`
     initial_updates: tuple[ListUpdate, ...]
@@ -59,19 +59,23 @@
     Raises KeyError for a missing key, and ValueError, TypeError, AttributeError or OverflowError for an
     invalid value.
     """
-    limits, settings, known = document.get("limits") or {}, document["settings"], document.get("known") or {}
+    process_limits, settings, known = (
+        document.get("limits") or {},
+        document["settings"],
+        document.get("known") or {},  # media servers known at the start
+    )
     updates = [parse_update(event) for event in known.get("results") or []]
     setting_limits = settings.get("limits") or {}
     listen = environment.get("LB_LISTEN") or document["listen"]
     operators, fd = environment.get("LB_MGMT") or document.get("mgmt"), environment.get("LB_LISTEN_FD")
     if fd and not fd.isdecimal():
-        raise ValueError(f"LB_LISTEN_FD: {fd!r} is no descriptor")
+        raise ValueError(f"LB_LISTEN_FD: {fd!r} is not a file descriptor")
     return Config(
         name=str(document.get("name") or ""),
         listen=parse_address(listen, min_port=0),
-        seed=int(str(document.get("seed") or "0"), 16),
-        memory_mb=int(limits.get("memory_mb", 192)),
-        sockets=int(limits.get("sockets", 1024)),
+        seed=int(str(document.get("seed") or "0"), 16),  # hexadecimal
+        memory_mb=int(process_limits.get("memory_mb", 192)),
+        sockets=int(process_limits.get("sockets", 1024)),
         changelog=parse_address(document["changelog"]),
         seq=int(known.get("seq", 0)),
         initial_updates=tuple(update for update in updates if update is not None),
@@ -87,5 +91,5 @@
     """Read the configuration file that LB_CONFIG names; raises ConfigError like `read`, or if it is unset."""
     path = environment.get("LB_CONFIG")
     if not path:
-        raise ConfigError("LB_CONFIG names no configuration")
+        raise ConfigError("LB_CONFIG is not set")
     return read(path, environment)
--- a/cloverhinge/core/clock.py
+++ b/cloverhinge/core/clock.py
@@ -20,7 +20,7 @@
 
 
 class ManualClock(Clock):
-    """A clock for tests, which moves only when it is told to."""
+    """A clock for tests, which moves only when `advance` is called."""
 
     def __init__(self, now: float = 1_000_000.0) -> None:
         self.time = now
--- a/cloverhinge/core/deadlines.py
+++ b/cloverhinge/core/deadlines.py
@@ -41,7 +41,7 @@
         return len(self._due)
 
     def schedule(self, at_ms: float, call: Callable[[], None]) -> DeadlineKey:
-        """Call a function at a Unix time in milliseconds; returns the key for `cancel`."""
+        """Schedule a call at a Unix time in milliseconds; returns the key for `cancel`."""
         self._count += 1
         key = (at_ms, self._count)
         self._due[key] = call
@@ -49,7 +49,7 @@
         return key
 
     def after(self, ms: float, call: Callable[[], None]) -> DeadlineKey:
-        """Call a function after this many milliseconds; returns the key for `cancel`."""
+        """Schedule a call after this many milliseconds; returns the key for `cancel`."""
         return self.schedule(self.clock.now() + ms, call)
 
     def cancel(self, key: DeadlineKey | None) -> None:
--- a/cloverhinge/core/model.py
+++ b/cloverhinge/core/model.py
@@ -26,7 +26,7 @@
     viewer_id: str = ""
     returning: bool = False
     peer_address: str = ""  # of the connection's client
-    client_number: int = -1  # admission's number of the client that vouched for it; -1 = use the address
+    client_number: int = -1  # admission's number of its client, set by the front end; -1 = use the address
     reservation_token: str = ""  # of an earlier retry-after estimate
     retry_after_step_ms: float = 1.0  # granularity of retry-after times on the wire
     record_id: str = ""  # key of its ownership record; empty = its session id
--- a/cloverhinge/core/router.py
+++ b/cloverhinge/core/router.py
@@ -101,16 +101,16 @@
 
     def _execute(self, action: api.Action) -> None:
         match action:
-            case api.SetUp(session, server, timeout_us):
-                self._set_up(session, server, timeout_us)
-            case api.SetRung(session, rung):
-                self._set_rung(session, rung)
-            case api.Refuse(session, retry_after_us):
-                self._refuse(session, to_ms(retry_after_us))
-            case api.Fail(session):
-                self._fail(session)
-            case api.Move(session):
-                self._move(session)
+            case api.SetUp(handle, server, timeout_us):
+                self._set_up(handle, server, timeout_us)
+            case api.SetRung(handle, rung):
+                self._set_rung(handle, rung)
+            case api.Refuse(handle, retry_after_us):
+                self._refuse(handle, to_ms(retry_after_us))
+            case api.Fail(handle):
+                self._fail(handle)
+            case api.Move(handle):
+                self._move(handle)
             case api.Probe(server):
                 self.counters.probes += 1
                 if self.prober is None or server not in self.listings:
@@ -163,9 +163,9 @@
     def adopt(
         self, set_up: SetUpRequest, server: int, client: ClientPort, servers: ServerPort
     ) -> Request | None:
-        """Take over a session that plays already.  One that this router holds already stays as it is.
+        """Take over a session that plays already.  One that this router has already stays as it is.
 
-        Returns None if the session is not taken over.  Its client is told that it is cut where its media
+        Returns None if the session is not taken over.  Its client is notified that it is cut where its media
         server is not listed, as nothing would ever end such a session, or where half of the slots are taken,
         so that sessions handed over leave room for new requests.
         """
@@ -232,8 +232,8 @@
 
     # Attempts
 
-    def _set_up(self, session: int, server: int, timeout_us: int) -> None:
-        request = self.requests.get(session)
+    def _set_up(self, handle: int, server: int, timeout_us: int) -> None:
+        request = self.requests.get(handle)
         if request is None or request.state is not State.OPEN:
             return  # concluded by an earlier action of the same event
         now = self.clock.now()
@@ -298,7 +298,7 @@
                 client.served(answer)
 
     def hand_over(self, request: Request) -> None:
-        """Forget a session that another router owns now: neither its media server nor its viewer is told.
+        """Forget a session that another router owns now: neither its media server nor its viewer is notified.
 
         An open request is failed.
         """
@@ -354,7 +354,7 @@
         if not self.sendable(attempt.server):
             self.attempt_ended(attempt, Outcome.MOOT)
             return False
-        if not self._client_present(attempt):
+        if not self._check_client(attempt):
             return False
         if self.ownership is not None and not self.ownership.may_write(attempt):
             attempt.ended_by_sender = True
@@ -364,11 +364,13 @@
         attempt.request.tally.tries += 1
         return True
 
-    def _client_present(self, attempt: Attempt) -> bool:
-        """Whether the attempt's client is still connected and has no unread input.
+    def _check_client(self, attempt: Attempt) -> bool:
+        """Return whether the attempt may be written now, as far as its client is concerned.
 
-        Prevents attempts for clients that have left: the close or cancellation may still be unread in a
-        socket, behind the event that caused the attempt.  Unread input is read first, for a limited time.
+        Ends the request if the client is gone.  If the client's input is unread, the attempt is tried again
+        shortly, until MAX_UNREAD_WAIT_MS have passed; it is then written in spite of it.  Prevents attempts
+        for clients that have left: the close or cancellation may still be unread in a socket, behind the
+        event that caused the attempt.
         """
         request, now = attempt.request, self.clock.now()
         match request.client.presence():
@@ -480,8 +482,8 @@
         if self.ownership is not None:
             self.ownership.ended(request)
 
-    def _refuse(self, session: int, retry_after_ms: float) -> None:
-        request = self.requests.get(session)
+    def _refuse(self, handle: int, retry_after_ms: float) -> None:
+        request = self.requests.get(handle)
         if request is None or request.state is not State.OPEN:
             return
         may_refuse = request.service_class.effect is Effect.REPEATABLE or not request.may_have_run
@@ -492,7 +494,7 @@
             self._give_up(request.attempt)
             may_refuse = may_refuse and request.service_class.effect is Effect.REPEATABLE
         if not check_invariant(may_refuse, "paid set-up refused only if it never ran"):
-            return self._fail(session)
+            return self._fail(handle)
         request.tally.shed += 1
         reservation_token = ""
         if self.admission is not None:
@@ -501,8 +503,8 @@
         self._conclude(request)
         request.client.refused(retry_after_ms, reservation_token)
 
-    def _fail(self, session: int) -> None:
-        request = self.requests.get(session)
+    def _fail(self, handle: int) -> None:
+        request = self.requests.get(handle)
         if request is None or request.state is not State.OPEN:
             return
         if request.attempt is not None:
@@ -548,8 +550,8 @@
         for request in list(self.established.get(server, {}).values()):
             self.cut(request)
 
-    def _move(self, session: int) -> None:
-        request = self.requests.get(session)
+    def _move(self, handle: int) -> None:
+        request = self.requests.get(handle)
         if request is not None and request.state is State.ESTABLISHED:
             self.counters.moved += 1
             self._end(request, Outcome.CANCELLED, None, tell_server=True, tell_client=False)
@@ -590,8 +592,8 @@
             )
         )
 
-    def _set_rung(self, session: int, rung: int) -> None:
-        request = self.requests.get(session)
+    def _set_rung(self, handle: int, rung: int) -> None:
+        request = self.requests.get(handle)
         if request is None or request.state is State.OVER:
             return
         top = min(request.set_up.ceiling, request.service_class.top, len(self.settings.ladder_kb) - 1)
@@ -633,12 +635,12 @@
             self.admission.fleet_changed()
 
     def _apply_maintenance(
-        self, kind: api.ListKind, told: tuple[api.ServerListing, ...]
+        self, kind: api.ListKind, listings: tuple[api.ServerListing, ...]
     ) -> Iterator[api.ServerListing]:
         if kind is not api.ListKind.DELTA:
             for entry in self.maintenance.values():
                 entry.listing = None
-        for listing in told:
+        for listing in listings:
             if (current := self.maintenance.get(listing.server)) is not None:
                 current.listing = None if listing.health is Health.GONE else listing
                 if listing.health is Health.READY:
--- a/cloverhinge/core/slots.py
+++ b/cloverhinge/core/slots.py
@@ -12,13 +12,14 @@
 
 
 class SlotTable(Generic[T]):
-    """A table of items; the handle of one combines its slot's number and the slot's generation.
+    """A table of items; an item's handle combines its slot's number and the slot's generation.
 
     The generation grows each time the slot is freed, so the handle of a removed item, as in a late message,
-    never refers to the item that has taken its slot since.
+    never refers to the item that has taken its slot since.  Generations start at 1, so no handle is 0.
     """
 
     def __init__(self, capacity: int = 1 << INDEX_BITS) -> None:
+        """`capacity` is limited to 2^20, the number of slots that a handle can distinguish."""
         self.capacity = min(capacity, 1 << INDEX_BITS)
         self._items: list[T | None] = []
         self._generations: list[int] = []
--- a/cloverhinge/shutdown.py
+++ b/cloverhinge/shutdown.py
@@ -25,9 +25,9 @@
 
 MAX_ACCEPT_MS = 700.0  # new requests arrive for this long after SIGTERM at most
 IDLE_POLL_MS = 10.0  # interval at which connections are checked for being idle
-KILL_MARGIN_MS = (
-    650.0  # beyond a client's longest wait; the platform kills the process 700 ms after that wait
-)
+# The shutdown may take this long beyond a client's longest wait; the platform kills the process
+# 700 ms after that wait.
+KILL_MARGIN_MS = 650.0
 MAX_TAKE_OVER_MS = 3000.0  # for other routers to take over what this one owns: two leases
 TAKE_OVER_POLL_MS = 150.0  # interval at which it is checked whether they have done so
 FLUSH_MS = 50.0  # for the last writes to be sent
@@ -90,7 +90,7 @@
         """Begin the shutdown, on SIGTERM.  A listener that another process shares is left to it at once."""
         if self.phase is not Phase.SERVING:
             return
-        self.phase, self.front.ready = Phase.ACCEPTING, False
+        self.phase, self.front.ready = Phase.ACCEPTING, False  # OPTIONS is now answered with 503
         self.until_ms = self.deadlines.clock.now() + self.max_wait_ms + KILL_MARGIN_MS
         self.log.info(
             "{name}: told to end, {open} requests open", name=self.name, open=self.router.open_requests
--- a/tests/operations_guards.py
+++ b/tests/operations_guards.py
@@ -18,7 +18,7 @@
 
 
 def ignore_maintenance() -> None:
-    Router._apply_maintenance = lambda self, kind, told: iter(told)  # type: ignore[method-assign]
+    Router._apply_maintenance = lambda self, kind, listings: iter(listings)  # type: ignore[method-assign]
 
 
 def block_on_accept() -> None:
