--- a/cloverhinge/admission/clients.py
+++ b/cloverhinge/admission/clients.py
@@ -12,7 +12,7 @@
 
 from cloverhinge.site.model import ClientSite
 
-MAX_CACHED_PEERS = 4096  # addresses whose client is cached
+MAX_CACHED_PEERS = 4096  # peer addresses whose client is cached
 PROOF_LENGTH = 64  # hex digits of an HMAC-SHA256
 
 
@@ -21,37 +21,38 @@
 
 
 class Clients:
-    """The clients of the site, numbered in their order; the last one is `others`."""
+    """The configured clients, numbered in their order; the last one is `others`."""
 
-    def __init__(self, sites: tuple[ClientSite, ...]) -> None:
-        self.sites = sites
-        self.by_name = {site.name: index for index, site in enumerate(sites)}
-        networks = [(net, index) for index, site in enumerate(sites) for net in site.networks]
+    def __init__(self, configs: tuple[ClientSite, ...]) -> None:
+        self.configs = configs
+        self.by_name = {config.name: index for index, config in enumerate(configs)}
+        networks = [(net, index) for index, config in enumerate(configs) for net in config.networks]
         self.networks = sorted(networks, key=lambda x: -x[0].prefixlen)  # longest prefix first
         self.find_by_peer = lru_cache(MAX_CACHED_PEERS)(self._find_by_peer)
 
     @property
     def others(self) -> int:
-        """Number of the client for viewers that no other client vouches for."""
-        return len(self.sites) - 1
+        """Number of the client for viewers that match no other client."""
+        return len(self.configs) - 1
 
-    def _find_by_peer(self, peer: str) -> int:
+    def _find_by_peer(self, peer_address: str) -> int:
+        """The client whose networks contain an IP address; `others` if there is none or it is not valid."""
         try:
-            address = ip_address(peer)
+            address = ip_address(peer_address)
         except ValueError:
             return self.others
         return next((index for net, index in self.networks if address in net), self.others)
 
-    def identify(self, peer: str, name: str, proof: str, subject: str) -> int:
+    def identify(self, peer_address: str, name: str, proof: str, subject: str) -> int:
         """The number of a request's client.
 
         `subject` is the play id or session id that the proof was made for.  Raises ProofError where a name or
         proof is given and they don't match.
         """
         if not name and not proof:
-            return self.find_by_peer(peer)
+            return self.find_by_peer(peer_address)
         index = self.by_name.get(name)
-        key = self.sites[index].key if index is not None else b""
+        key = self.configs[index].key if index is not None else b""
         matches = hmac.compare_digest(
             compute_proof(key, name, subject).encode(), proof.lower().encode("utf-8", "replace")
         )
--- a/cloverhinge/admission/fair_queue.py
+++ b/cloverhinge/admission/fair_queue.py
@@ -19,7 +19,7 @@
 from cloverhinge.admission.forecast import DepartureCurve, LifeTable, departure_curve
 from cloverhinge.admission.reservations import Reservation, ReservationTable
 
-BUCKETS = 64  # address buckets of the client for viewers that no other client vouches for
+BUCKETS = 64  # address buckets of the client for viewers that match no other client
 MAX_LANES = 64  # per bucket; a request for a further pool gets an estimate without a reservation
 GUARANTEED_WAITING = 8  # requests of a client that may wait even when other clients fill the queue
 MAX_BUCKET_FRACTION = 1 / 8  # of the queue, for one bucket of a client that has many
@@ -97,7 +97,7 @@
     since_ms: float
     latest_admission_ms: float  # later, the time left is too short for a set-up
     due_ms: float  # orders the requests of the lane
-    reservation: Reservation | None = None  # the one that it claims
+    reservation: Reservation | None = None  # which it claims
 
 
 @dataclass(slots=True, eq=False)
@@ -132,7 +132,7 @@
 
 @dataclass(slots=True)
 class DecayingRate:
-    """An event rate with exponential decay: the weight of an event falls by e every RATE_SPAN_MS."""
+    """An event rate with exponential decay: an event's weight falls by a factor of e every RATE_SPAN_MS."""
 
     count: float = 0.0
     at_ms: float = 0.0
@@ -206,7 +206,8 @@
 class Reject:
     """Answer the request now: retry after `retry_after_ms`.
 
-    There is no reservation where the estimate or one of the tables is at its limit.
+    There is no reservation where the estimate or one of the tables is at its limit, or the viewer has an open
+    reservation for this class already.
     """
 
     number: int
@@ -259,25 +260,26 @@
         )
         if reservation is None:
             client.arrival_rate.add(now)
-        latest, free = self._latest_admission_ms(now, arrival), self._may_admit_now(now, arrival.pool)
-        due = (
+        latest_ms, admit_now = self._latest_admission_ms(now, arrival), self._may_admit_now(now, arrival.pool)
+        due_ms = (
             reservation.due_ms
             if reservation is not None
             else now
-            if free
+            if admit_now
             else now + self._estimated_wait_ms(now, lane)
         )
-        waits = not free and due <= latest and self._may_wait(lane.bucket)
+        waits = not admit_now and due_ms <= latest_ms and self._may_wait(lane.bucket)
         early = reservation is not None and reservation.due_ms > now
         client.early += early
-        if reservation is not None and (free or waits or not early):
-            self._remove_from_lane(client, client.reservations.claim(reservation))
-            client.claim_rate += (1.0 - client.claim_rate) * CLAIM_RATE_WEIGHT
+        # Claimed, unless the viewer is early and has to return at the time reserved for it.
+        if reservation is not None and (admit_now or waits or not early):
+            self._free_reserved_position(client, client.reservations.claim(reservation))
+            client.claim_rate += (1.0 - client.claim_rate) * CLAIM_RATE_WEIGHT  # towards 1
             lane = self._lane(client, arrival.bucket, arrival.pool)
-        if free:
+        if admit_now:
             self._admit(now, arrival, lane, reservation)
         elif waits:
-            self._enqueue(now, arrival, lane, latest, due, reservation)
+            self._enqueue(now, arrival, lane, latest_ms, due_ms, reservation)
             self._admit_next(now)
         elif reservation is not None and early:
             client.rejected += 1
@@ -294,7 +296,7 @@
     def void_reservation(self, client: int, reservation: Reservation) -> None:
         """Drop a reservation that was claimed at another router."""
         owner = self.clients[client]
-        self._remove_from_lane(owner, owner.reservations.claim(reservation))
+        self._free_reserved_position(owner, owner.reservations.claim(reservation))
 
     def changed(self, now: float) -> list[Verdict]:
         """Check for capacity again after a session ended or the fleet changed."""
@@ -311,7 +313,10 @@
         return self.verdicts
 
     def poll(self, now: float) -> list[Verdict]:
-        """Admit, and reject requests that can't be admitted in time; called often while requests wait."""
+        """Admit the next request if there is capacity, and reject those that can't be admitted in time.
+
+        Called often while requests wait.
+        """
         self.verdicts = []
         self._admit_next(now)
         for request in list(self.waiting.values()):
@@ -419,15 +424,20 @@
         )
 
     def _admit_next(self, now: float) -> None:
+        """Admit the first request in fair order whose pool has capacity, and charge its class one turn.
+
+        Each waiting class of the bucket earns its fraction of that turn, so that all get their fractions over
+        time.
+        """
         request = next(
             (x for x in self._admission_order(now) if self._has_capacity(now, x.arrival.pool)), None
         )
         if request is None:
             return
-        bucket, name = request.lane.bucket, request.arrival.pool.class_name
+        bucket, class_name = request.lane.bucket, request.arrival.pool.class_name
         for other, share in self._class_shares(now, bucket).items():
             bucket.turn_credits[other] = min(1.0, bucket.turn_credits.get(other, 0.0) + share)
-        bucket.turn_credits[name] = bucket.turn_credits.get(name, 0.0) - 1.0
+        bucket.turn_credits[class_name] = bucket.turn_credits.get(class_name, 0.0) - 1.0
         self._dequeue(request)
         self._admit(now, request.arrival, request.lane, request.reservation)
         self._remove_if_empty(request.lane)
@@ -513,13 +523,13 @@
         now: float,
         arrival: Arrival,
         lane: Lane,
-        latest: float,
-        due: float,
+        latest_ms: float,
+        due_ms: float,
         reservation: Reservation | None,
     ) -> None:
-        request = WaitingRequest(arrival, lane, now, latest, due, reservation)
+        request = WaitingRequest(arrival, lane, now, latest_ms, due_ms, reservation)
         index = len(lane.waiting)
-        while index and lane.waiting[index - 1].due_ms > due:
+        while index and lane.waiting[index - 1].due_ms > due_ms:
             index -= 1
         lane.waiting.insert(index, request)
         lane.bucket.waiting += 1
@@ -536,7 +546,7 @@
         if not self.waiting_by_pool[request.arrival.pool]:
             del self.waiting_by_pool[request.arrival.pool]
         if not request.lane.bucket.waiting:
-            request.lane.bucket.turn_credits.clear()  # an idle bucket keeps no credit
+            request.lane.bucket.turn_credits.clear()  # an idle bucket has no credit
 
     def _reject_waiting(self, now: float, request: WaitingRequest) -> None:
         """Reject a request that can't be admitted before its limit, without waiting for the limit."""
@@ -563,36 +573,36 @@
     def _expire_reservations(self, client: Client, now: float) -> None:
         for reservation in client.reservations.expire(now):
             client.lapsed += 1
-            client.claim_rate += (0.0 - client.claim_rate) * CLAIM_RATE_WEIGHT
-            self._remove_from_lane(client, reservation)
+            client.claim_rate += (0.0 - client.claim_rate) * CLAIM_RATE_WEIGHT  # towards 0
+            self._free_reserved_position(client, reservation)
 
-    def _remove_from_lane(self, client: Client, reservation: Reservation | None) -> None:
+    def _free_reserved_position(self, client: Client, reservation: Reservation | None) -> None:
         if reservation is not None and (bucket := client.buckets.get(reservation.bucket)) is not None:
             if (lane := bucket.lanes.get(reservation.pool)) is not None:
                 lane.reserved_ms.discard(reservation.due_ms)
                 self._remove_if_empty(lane)
 
-    def _reject(self, now: float, arrival: Arrival, lane: Lane, broken: Reservation | None = None) -> None:
+    def _reject(self, now: float, arrival: Arrival, lane: Lane, claimed: Reservation | None = None) -> None:
         """Reject with an estimate, and with a reservation if one can be made.
 
-        A viewer that returned on a reservation (`broken`) and is not admitted stays ahead of all open
-        reservations of its lane.
+        A viewer that returned on a reservation (`claimed`) and is not admitted gets a position ahead of all
+        open reservations of its lane.
         """
         client = lane.bucket.client
         client.rejected += 1
         retry_after_ms = max(
-            self._estimated_wait_ms(now, lane, ESTIMATE_MARGIN, broken is not None), MIN_RETRY_AFTER_MS
+            self._estimated_wait_ms(now, lane, ESTIMATE_MARGIN, claimed is not None), MIN_RETRY_AFTER_MS
         )
-        client.broken += broken is not None and broken.due_ms <= now
+        client.broken += claimed is not None and claimed.due_ms <= now  # it came back in time
         retry_after_ms = math.ceil(retry_after_ms / arrival.retry_after_step_ms) * arrival.retry_after_step_ms
         if retry_after_ms > self.max_retry_after_ms or len(lane.bucket.lanes) > MAX_LANES:
             retry_after_ms = min(retry_after_ms, self.max_retry_after_ms)
             client.unreserved += 1
             self.verdicts.append(Reject(arrival.number, retry_after_ms, client.name))
             return
-        window = min(max(retry_after_ms * WINDOW_FRACTION, MIN_WINDOW_MS), MAX_WINDOW_MS)
+        window_ms = min(max(retry_after_ms * WINDOW_FRACTION, MIN_WINDOW_MS), MAX_WINDOW_MS)
         reservation = client.reservations.create(
-            arrival.viewer, arrival.bucket, arrival.pool, now, retry_after_ms, window
+            arrival.viewer, arrival.bucket, arrival.pool, now, retry_after_ms, window_ms
         )
         if reservation is None:
             client.unreserved += 1
--- a/cloverhinge/admission/forecast.py
+++ b/cloverhinge/admission/forecast.py
@@ -12,10 +12,10 @@
 from math import exp, expm1
 
 HORIZONS_MS = (250.0, 500.0, 1000.0, 2000.0, 4000.0, 8000.0, 16000.0, 32000.0, 64000.0, 128000.0)
-BINS, BINS_PER_LENGTH = 24, 8  # ages up to three lengths; beyond them, the last bin's hazard holds
+BINS, BINS_PER_LENGTH = 24, 8  # ages up to three lengths; beyond them, the last bin's hazard applies
 PRIOR_EXPOSURE = 0.25  # lengths of exposure at the prior's hazard that each bin starts with
-# The prior's hazard rises by this per length of age, as calls have a usual length: a Weibull distribution of
-# shape 2 with a mean of one length has a hazard of pi / 2 times the age.
+# The prior's hazard rises by this per length of age, as sessions have a usual length: a Weibull distribution
+# of shape 2 with a mean of one length has a hazard of pi / 2 times the age.
 PRIOR_HAZARD_SLOPE = 1.57
 MAX_ENDS = 512.0  # ends of a class at which its table is halved, to follow changes over the day
 DEFAULT_MEAN_MS = 60_000.0  # length assumed for a class without hints until sessions have ended
@@ -43,9 +43,8 @@
 
     def record_end(self, age_ms: float, hint_ms: float) -> None:
         """Count a session that ended at an age."""
-        self.ended_count += (
-            1.0  # before `length_ms`, so that a first session without a hint is measured by its own age
-        )
+        # Before `length_ms`, so that a first session without a hint is measured by its own age.
+        self.ended_count += 1.0
         self.ended_total_ms += age_ms
         age, length = age_ms / self.length_ms(hint_ms), 1.0 / BINS_PER_LENGTH
         last = min(int(age * BINS_PER_LENGTH), BINS - 1)
@@ -62,7 +61,7 @@
     def cumulative_hazards(self, playing: Sequence[float] = (), weight: float = 1.0) -> list[float]:
         """Cumulative hazard at the start of each bin and at the end of the last; cached until `invalidate`.
 
-        `playing` holds ages, in lengths, of a sample of the sessions that have not ended; each represents
+        `playing` contains ages, in lengths, of a sample of the sessions that have not ended; each represents
         `weight` sessions.  Without their exposure, sessions that end early would count as typical.
         """
         if self._sums is None:
--- a/cloverhinge/admission/gateway.py
+++ b/cloverhinge/admission/gateway.py
@@ -25,7 +25,7 @@
 from cloverhinge.decision.interface import Outcome
 from cloverhinge.site.model import DoorSite
 
-SHUTDOWN_RETRY_AFTER_MS = 1000.0  # sent while the program ends: a restart takes about as long
+SHUTDOWN_RETRY_AFTER_MS = 1000.0  # sent while the process shuts down: a restart takes about as long
 POLL_INTERVAL_MS = 50.0  # while requests wait; short against the 600 ms reserved for a set-up
 KEY_BYTES = 32  # of a key generated at the start: the length of the signing digest
 SERIAL_BITS = 20  # a run's serials start at its start in ms, shifted by this: later runs start above them
@@ -157,13 +157,18 @@
             self._schedule_change()
 
     def close(self) -> None:
-        """Reject all waiting requests and every later one, as the program ends."""
+        """Reject all waiting requests and every later one, as the process shuts down."""
         self.closed = True
         self._apply(self.queue.close(self.clock.now()))
 
     # Towards the core
 
     def _apply(self, verdicts: list[fair_queue.Verdict]) -> None:
+        """Carry verdicts out on the router, and keep the poll timer running while requests wait.
+
+        After admissions the queue is served again: it sees the capacity that they take only once they are
+        carried out.
+        """
         while verdicts:
             admitted = False
             for verdict in verdicts:
@@ -221,6 +226,7 @@
         return int.from_bytes(hashlib.blake2b(text.encode(), key=self.key, digest_size=8).digest(), "big")
 
     def _arrival(self, request: Request) -> fair_queue.Arrival:
+        """The request as the queue sees it; its client is found by the address if the front end set none."""
         set_up, cells = request.set_up, self.settings.cells
         client = (
             self.clients.find_by_peer(set_up.peer_address)
@@ -243,7 +249,7 @@
         reservation: Reservation | None = None
         if set_up.reservation_token:
             reservation = self.tokens.read(
-                set_up.reservation_token, now, self.clients.sites[client].name, viewer, bucket, pool
+                set_up.reservation_token, now, self.clients.configs[client].name, viewer, bucket, pool
             )
         return fair_queue.Arrival(
             request.handle,
@@ -258,8 +264,8 @@
         )
 
     def status(self) -> list[dict[str, Any]]:
-        """One row for each client, for the status."""
-        held = sum(x.used_share for x in self.queue.clients) or 1.0
+        """One row for each client, for the status; the keys are fixed, as other programs read them."""
+        total_used = sum(x.used_share for x in self.queue.clients) or 1.0
         fair = fair_queue.fair_shares(self.queue.clients)
         return [
             {
@@ -270,7 +276,7 @@
                 "waiting": x.waiting,
                 "refused": x.rejected,
                 "held": round(x.used_share, 4),
-                "share": round(x.used_share / held, 4),
+                "share": round(x.used_share / total_used, 4),
                 "due": round(fair[index], 4),
                 "quoted": x.reserved,
                 "kept": x.honoured,
--- a/cloverhinge/admission/replicated_reservations.py
+++ b/cloverhinge/admission/replicated_reservations.py
@@ -1,7 +1,8 @@
 """Reservations as ownership records `d/SERIAL.VIEWER`, so that each is claimed once among all routers.
 
 A record is created when a viewer returns on a reservation.  If the reservation is claimed, the record ends
-for good.  If the viewer came early, the record stays and goes to the router that the viewer comes to next.
+for good.  If the viewer came early, the record stays and is handed over to the router at which the viewer
+returns.
 """
 
 from __future__ import annotations
@@ -55,7 +56,7 @@
         )
 
     def settle(self, reservation: Reservation, claimed: bool) -> None:
-        """End the record of a claimed reservation; otherwise keep it until the reservation expires."""
+        """End the record of a claimed reservation; otherwise retain it until the reservation expires."""
         id = self._id(reservation)
         if claimed:
             self.ownership.end(id)
--- a/cloverhinge/admission/reservation_tokens.py
+++ b/cloverhinge/admission/reservation_tokens.py
@@ -18,7 +18,7 @@
 class ReservationTokens:
     """Writes and verifies reservation tokens.
 
-    A token is the version, then `serial.made.quote.window` in hex (times in ms), then 128 bits of an
+    A token is the version, then `serial.made.retry-after.window` in hex (times in ms), then 128 bits of an
     HMAC-SHA256 over these, the client, the viewer and the class.  So a token is valid only for the viewer,
     client and class that it was made for.
     """
@@ -60,8 +60,17 @@
         payload, signature = text[2:].rpartition(".")[::2]
         if not hmac.compare_digest(signature, self._sign(payload, client, viewer, pool.class_name)):
             return None
-        serial, made, quote, window = (int(match[n], 16) for n in (1, 2, 3, 4))
-        due = float(made + quote)
-        if window > MAX_WINDOW_MS or not now - window <= due <= now + self.max_retry_after_ms:
+        serial, made_ms, retry_after_ms, window_ms = (int(match[n], 16) for n in (1, 2, 3, 4))
+        due_ms = float(made_ms + retry_after_ms)
+        if window_ms > MAX_WINDOW_MS or not now - window_ms <= due_ms <= now + self.max_retry_after_ms:
             return None
-        return Reservation(serial, viewer, bucket, pool, float(made), float(max(quote, 1)), due, due + window)
+        return Reservation(
+            serial,
+            viewer,
+            bucket,
+            pool,
+            float(made_ms),
+            float(max(retry_after_ms, 1)),
+            due_ms,
+            due_ms + window_ms,
+        )
--- a/cloverhinge/admission/reservations.py
+++ b/cloverhinge/admission/reservations.py
@@ -33,13 +33,16 @@
     """Open reservations: at most `max_open`, and at most `max_per_bucket` of one bucket."""
 
     def __init__(self, max_open: int, max_per_bucket: int, first_serial: int = 1) -> None:
-        """Start serials at `first_serial`, which no earlier run has reached, to tell tokens of other runs."""
+        """Start serials at `first_serial`, which no earlier run has reached, to tell tokens of other runs
+        apart.
+        """
         self.max_open, self.max_per_bucket = max_open, max_per_bucket
-        self.by_viewer: dict[tuple[int, str], Reservation] = {}
+        self.by_viewer: dict[tuple[int, str], Reservation] = {}  # by viewer and class
         self.by_serial: dict[int, Reservation] = {}
         self.count_by_bucket: dict[int, int] = {}
-        self.by_expiry: SortedDict[tuple[float, int], Reservation] = SortedDict()
-        self.claimed_foreign: SortedDict[tuple[float, int], None] = SortedDict()  # from tokens of other runs
+        self.by_expiry: SortedDict[tuple[float, int], Reservation] = SortedDict()  # by expiry and serial
+        # Reservations of other runs that were claimed here, by expiry and serial.
+        self.claimed_foreign: SortedDict[tuple[float, int], None] = SortedDict()
         self.first_serial, self.next_serial = first_serial, first_serial
 
     def __len__(self) -> int:
@@ -86,9 +89,9 @@
             or key in self.by_viewer
         ):
             return None
-        due = now + retry_after_ms
+        due_ms = now + retry_after_ms
         reservation = Reservation(
-            self.next_serial, viewer, bucket, pool, now, retry_after_ms, due, due + window_ms
+            self.next_serial, viewer, bucket, pool, now, retry_after_ms, due_ms, due_ms + window_ms
         )
         self.next_serial += 1
         self.by_viewer[key] = self.by_serial[reservation.serial] = reservation
