--- a/cloverhinge/admission/clients.py
+++ b/cloverhinge/admission/clients.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 from ipaddress import ip_address
 
-from cloverhinge.site.model import ClientSite
+from cloverhinge.site.model import ClientSettings
 
 MAX_CACHED_PEERS = 4096  # peer addresses whose client is cached
 PROOF_LENGTH = 64  # hex digits of an HMAC-SHA256
@@ -23,7 +23,7 @@
 class Clients:
     """The configured clients, numbered in their order; the last one is `others`."""
 
-    def __init__(self, configs: tuple[ClientSite, ...]) -> None:
+    def __init__(self, configs: tuple[ClientSettings, ...]) -> None:
         self.configs = configs
         self.by_name = {config.name: index for index, config in enumerate(configs)}
         networks = [(net, index) for index, config in enumerate(configs) for net in config.networks]
--- a/cloverhinge/lab/media.py
+++ b/cloverhinge/lab/media.py
@@ -1,7 +1,8 @@
-"""Media boxes as stand-ins, with both sides of the platform and a record of each session that they hold.
+"""Fake media servers for HLS over HTTP and for RTSP that record each session they hold.
 
-HTTP as `hls/media_servers.py` says it, RTSP as the pumps speak it.  A box holds a session from its set-up
-until it is released; what it was asked goes into the run's record, so that checkers need no router's word.
+The HTTP side follows `hls/media_servers.py`, the RTSP side `FakeMediaServer`.  A server holds a session from
+its set-up until the release.  All requests go into the record of the run, so checks need not rely on what the
+routers report.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any
 
-from cloverhinge.lab.harness import WAIT_S, Message, Pump, Wire
+from cloverhinge.lab.harness import TIMEOUT_S, FakeMediaServer, Message, RtspConnection
 from cloverhinge.lab.record import Event, Record
 
 MASTER = (
@@ -23,138 +24,146 @@
 MEDIA = "#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXTINF:4,\nseg1.ts\n"
 
 
-class MediaBox(Pump):
-    """`sessions` stand here now, by name, with their titles.
+class RecordingMediaServer(FakeMediaServer):
+    """`sessions` maps the ids of the sessions held now to their titles.
 
-    `before` closed holds a set-up before the box takes it, `after` holds its answer back.
+    While `may_set_up` is cleared a set-up waits before the session is established; while `may_answer` is
+    cleared it waits after that, before the answer.  Both waits end after `TIMEOUT_S`.
     """
 
     def __init__(self, name: str, cell: int, record: Record | None = None) -> None:
         self.record = record or Record()
         self.sessions: dict[str, str] = {}
         self.lock = threading.Lock()
-        self.ended: list[str] = []  # told again on each new connection, as whose they are may have changed
-        self.before, self.after = threading.Event(), threading.Event()
-        self.before.set()
-        self.after.set()
-        self.web = _Server(("127.0.0.1", 0), _handler(self))
-        self.web.daemon_threads = True
-        self.origin = "127.0.0.1:%d" % self.web.server_port
-        threading.Thread(target=self.web.serve_forever, args=(0.05,), daemon=True).start()
+        # Announced again on each new connection, as the owner may be another router by then.
+        self.ended_sessions: list[str] = []
+        self.may_set_up, self.may_answer = threading.Event(), threading.Event()
+        self.may_set_up.set()
+        self.may_answer.set()
+        self.http_server = _HttpServer(("127.0.0.1", 0), _handler(self))
+        self.http_server.daemon_threads = True
+        self.origin = "127.0.0.1:%d" % self.http_server.server_port
+        threading.Thread(target=self.http_server.serve_forever, args=(0.05,), daemon=True).start()
         super().__init__(name, cell)
-        self.script = self.take
+        self.on_set_up = self.start_set_up
 
-    def noted(self, what: str, session: str, title: str = "") -> Event:
-        return self.record.add(self.name, what, session=session, title=title)
+    def record_event(self, event_kind: str, session: str, title: str = "") -> Event:
+        """Records an event of a session."""
+        return self.record.add(self.name, event_kind, session=session, title=title)
 
-    def full(self) -> bool:
-        """Whether it turns set-ups away now."""
+    def is_full(self) -> bool:
+        """Whether the server rejects set-ups now."""
         return False
 
-    def set_up(self, session: str, title: str, kind: str) -> None:
-        """In two steps, each of which a test may hold up: it is asked, and it stands."""
-        self.record.add(self.name, "asked", session=session, title=title, kind=kind)
-        self.before.wait(WAIT_S)
+    def set_up(self, session: str, title: str, service_class: str) -> None:
+        """Records the request and establishes the session; a test can delay either step."""
+        self.record.add(self.name, "asked", session=session, title=title, kind=service_class)
+        self.may_set_up.wait(TIMEOUT_S)
         with self.lock:
             self.sessions[session] = title
-        self.noted("stands", session, title)
-        self.after.wait(WAIT_S)
+        self.record_event("stands", session, title)
+        self.may_answer.wait(TIMEOUT_S)
 
     def release(self, session: str) -> None:
+        """Removes a session and records whether it was held."""
         with self.lock:
             title = self.sessions.pop(session, None)
-        self.noted("released" if title is not None else "released in vain", session, title or "")
+        self.record_event("released" if title is not None else "released in vain", session, title or "")
 
-    def end(self, session: str) -> None:
-        """The box ends it: told on all lines to it, as one of them is its router's."""
+    def end_session(self, session: str) -> None:
+        """Ends a session from the server's side.
+
+        The end is sent on all connections, as the server doesn't know which one belongs to the owner.
+        """
         with self.lock:
             self.sessions.pop(session, None)
-            self.ended.append(session)
-        self.noted("ended", session)
-        for wire in list(self.wires):
-            self._tell_end(wire, session)
+            self.ended_sessions.append(session)
+        self.record_event("ended", session)
+        for connection in list(self.connections):
+            self._send_end(connection, session)
 
     @staticmethod
-    def _tell_end(wire: Wire, session: str) -> None:
+    def _send_end(connection: RtspConnection, session: str) -> None:
         with suppress(OSError):
-            wire.send("TEARDOWN rtsp://media/session RTSP/1.0", session, 2, Reason="cause=16")
+            connection.send("TEARDOWN rtsp://media/session RTSP/1.0", session, 2, Reason="cause=16")
 
     # RTSP
 
-    def take(self, wire: Wire, message: Message) -> None:
-        threading.Thread(target=self._answer, args=(wire, message), daemon=True).start()
+    def start_set_up(self, connection: RtspConnection, message: Message) -> None:
+        """Handles an RTSP set-up in a thread of its own, as `set_up` may block."""
+        threading.Thread(target=self._answer, args=(connection, message), daemon=True).start()
 
-    def _answer(self, wire: Wire, message: Message) -> None:
-        if self.full():
-            wire.send("RTSP/1.0 453 Not Enough Bandwidth", message.session)
+    def _answer(self, connection: RtspConnection, message: Message) -> None:
+        if self.is_full():
+            connection.send("RTSP/1.0 453 Not Enough Bandwidth", message.session)
             return
         self.set_up(
             message.session,
             message.start.split()[1].removeprefix("rtsp://media/"),
             message.headers.get("x-call-class", ""),
         )
-        with suppress(OSError):  # the router may be gone
-            wire.send("RTSP/1.0 200 OK", message.session, body=b"made by " + self.name.encode())
+        with suppress(OSError):  # the router may have closed the connection
+            connection.send("RTSP/1.0 200 OK", message.session, body=b"made by " + self.name.encode())
 
-    def serve(self, wire: Wire) -> None:
-        for session in list(self.ended):
-            self._tell_end(wire, session)
-        while message := wire.read():
+    def serve(self, connection: RtspConnection) -> None:
+        for session in list(self.ended_sessions):
+            self._send_end(connection, session)
+        while message := connection.read():
             with suppress(OSError):
                 if message.start.startswith("OPTIONS"):
-                    self.tests += 1
-                    wire.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
+                    self.probes += 1
+                    connection.send("RTSP/1.0 200 OK", message.session, 3, X_Circuits=self.load)
                 elif message.start.startswith("SETUP"):
-                    self.script(wire, message)
+                    self.on_set_up(connection, message)
                 elif message.start.startswith("TEARDOWN"):
                     self.release(message.session)
-                    wire.send("RTSP/1.0 200 OK", message.session, 2)
+                    connection.send("RTSP/1.0 200 OK", message.session, 2)
 
     def stop(self, reset: bool = False) -> None:
-        self.before.set()
-        self.after.set()
+        self.may_set_up.set()
+        self.may_answer.set()
         super().stop(reset)
-        self.web.shutdown()
-        self.web.server_close()
+        self.http_server.shutdown()
+        self.http_server.server_close()
 
 
-class Limited(MediaBox):
-    """So many places, sessions of one length, and a load that says so."""
+class LimitedMediaServer(RecordingMediaServer):
+    """Holds at most `max_sessions`, ends each after `session_life_s`, and reports its use as load."""
 
-    def __init__(self, name: str, cell: int, places: int, life_s: float) -> None:
-        self.places, self.life_s = places, life_s
+    def __init__(self, name: str, cell: int, max_sessions: int, session_life_s: float) -> None:
+        self.max_sessions, self.session_life_s = max_sessions, session_life_s
         super().__init__(name, cell)
 
     @property
     def load(self) -> str:
-        return f"x0:{len(self.sessions) / self.places:.2f};x1:0.1"
+        return f"x0:{len(self.sessions) / self.max_sessions:.2f};x1:0.1"
 
     @load.setter
-    def load(self, told: str) -> None:
-        """Its sessions say it."""
+    def load(self, report: str) -> None:
+        """Ignored: the load follows from the number of sessions."""
 
-    def full(self) -> bool:
-        return len(self.sessions) >= self.places
+    def is_full(self) -> bool:
+        return len(self.sessions) >= self.max_sessions
 
-    def set_up(self, session: str, title: str, kind: str) -> None:
-        super().set_up(session, title, kind)
-        ends = threading.Timer(self.life_s, self._over, (session,))
-        ends.daemon = True
-        ends.start()
+    def set_up(self, session: str, title: str, service_class: str) -> None:
+        super().set_up(session, title, service_class)
+        timer = threading.Timer(self.session_life_s, self._life_over, (session,))
+        timer.daemon = True
+        timer.start()
 
-    def _over(self, session: str) -> None:
+    def _life_over(self, session: str) -> None:
         if session in self.sessions:
-            self.end(session)
+            self.end_session(session)
 
 
-class _Server(ThreadingHTTPServer):
+class _HttpServer(ThreadingHTTPServer):
     request_queue_size = 64
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """A router that is gone before its answer is no news here."""
+        """Ignores errors of connections, which routers may close before the answer."""
 
 
-def _handler(box: MediaBox) -> type[BaseHTTPRequestHandler]:
+def _handler(media_server: RecordingMediaServer) -> type[BaseHTTPRequestHandler]:
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
 
@@ -166,17 +175,17 @@
             self.wfile.write(data)
 
         def do_PUT(self) -> None:
-            told = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
+            request = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
             name = self.path.split("/")[2]
-            if box.full():
+            if media_server.is_full():
                 self.answer(503)
                 return
-            box.set_up(name, told["title"], told["class"])
+            media_server.set_up(name, request["title"], request["class"])
             self.answer(200, MASTER.format(name))
 
         def do_GET(self) -> None:
             name = self.path.split("/")[2]
-            if name not in box.sessions:
+            if name not in media_server.sessions:
                 self.answer(404)
             else:
                 self.answer(200, MEDIA if self.path.endswith(".m3u8") else MASTER.format(name))
@@ -186,7 +195,7 @@
             self.answer(200)
 
         def do_DELETE(self) -> None:
-            box.release(self.path.split("/")[2])
+            media_server.release(self.path.split("/")[2])
             self.answer(200)
 
         def log_message(self, *_: Any) -> None:
@@ -195,6 +204,9 @@
     return Handler
 
 
-def set_ups(record: Record, kind: str = "paid") -> Counter[str]:
-    """How often each title was asked for at any box: with a title for each play, set-ups of that play."""
-    return Counter(x.told["title"] for x in record.of("asked") if x.told["kind"] == kind)
+def set_ups_by_title(record: Record, kind: str = "paid") -> Counter[str]:
+    """Counts the set-up requests for each title at all servers.
+
+    Where each play has a title of its own, that is the number of set-ups of the play.
+    """
+    return Counter(x.details["title"] for x in record.events_of("asked") if x.details["kind"] == kind)
--- a/cloverhinge/lab/rig.py
+++ b/cloverhinge/lab/rig.py
@@ -1,4 +1,4 @@
-"""A rig of real processes: routers behind a hub, boxes and a change log as stand-ins, faults, one record."""
+"""A rig: router processes behind a hub, with fake media servers and change logs, faults and one record."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from pathlib import Path
 from typing import Any
 
-from cloverhinge.lab.harness import ROOT, WAIT_S, ChangeLog, Program, Pump
+from cloverhinge.lab.harness import ROOT, TIMEOUT_S, FakeChangeLog, FakeMediaServer, Program
 from cloverhinge.lab.hub import Hub
-from cloverhinge.lab.media import MediaBox
+from cloverhinge.lab.media import RecordingMediaServer
 from cloverhinge.lab.record import Event, Record
 
 KEY = "lab-key-" * 5
-FIRST_PORT_HOST = 128  # the hub's hosts follow the routers': 127.a.b.1 and 127.a.b.128 are one router's
-ROUTERS_MOST = 120
-STARTS_S = 60.0  # for a start beside others on a busy machine; only a failing run waits so long
+HUB_HOST_OFFSET = 128  # last byte of the address at the hub: 127.a.b.128 for the router at 127.a.b.1
+MAX_ROUTERS = 120
+START_TIMEOUT_S = 60.0  # for a start on a busy machine; only a failing run waits this long
 
-CHANGED = re.compile(
+MEMBER_CHANGED = re.compile(
     r"(\S+): members: (\S+) (joined|returned|restarted|suspect|heard|dead|left), "
     r"incarnation (\d+) \((.*)\); view (\d+):([0-9a-f]+) of (\d+)$"
 )
@@ -35,20 +35,20 @@
 
 
 class Router:
-    """One process of the program, and what its log has said."""
+    """One router of the rig: its process, over restarts, and its log."""
 
     def __init__(self, rig: Rig, number: int, site: str) -> None:
         self.rig, self.number, self.site, self.name = rig, number, site, f"r{number}"
         self.host = f"{rig.net}.{number + 1}"
         self.folder = rig.folder / self.name
         self.folder.mkdir()
-        self.told = rig.hub.place(self.name, f"{rig.net}.{number + FIRST_PORT_HOST}", self.host)
+        self.advertised = rig.hub.add_router(self.name, f"{rig.net}.{number + HUB_HOST_OFFSET}", self.host)
         self.process: subprocess.Popen[str] | None = None
         self.ports: dict[str, tuple[str, int]] = {}
-        self.view: tuple[int, str, int] | None = None  # number, digest, members in it
-        self.lives = 0
-        self.begun_ms = 0.0  # of this run
-        self.log = ChangeLog()  # its own, as its gates to the boxes are
+        self.view: tuple[int, str, int] | None = None  # version, digest, number of members
+        self.runs = 0
+        self.started_ms = 0.0  # start of the present run, ms since the record began
+        self.change_log = FakeChangeLog()  # of its own, as it sees other addresses of the media servers
         self.readers: list[threading.Thread] = []
 
     @property
@@ -56,15 +56,22 @@
         return self.process is not None and self.process.poll() is None
 
     def start(self, **settings: Any) -> None:
-        """Begins a new run under the same name; `until_started` waits for it."""
+        """Starts a new process under the same name without waiting; `wait_started` waits.
+
+        `settings` override those of the rig.
+        """
         rig = self.rig
         self.ports, self.view = {}, None
-        self.lives += 1
-        known = {"seq": 1, "results": [self.log.event(rig.rows(self), full=True)]} if rig.pumps else {}
-        told = Program.configuration(self.name, self.log, known, **{**rig.settings, **settings})
-        told["seed"] = f"{rig.seed * 1000 + self.number * 10 + self.lives:016x}"
-        told["listen"] = f"{self.host}:0"
-        (self.folder / "config.json").write_text(json.dumps(told))
+        self.runs += 1
+        known = (
+            {"seq": 1, "results": [self.change_log.append_event(rig.server_list(self), full=True)]}
+            if rig.servers
+            else {}
+        )
+        config = Program.configuration(self.name, self.change_log, known, **{**rig.settings, **settings})
+        config["seed"] = f"{rig.seed * 1000 + self.number * 10 + self.runs:016x}"
+        config["listen"] = f"{self.host}:0"
+        (self.folder / "config.json").write_text(json.dumps(config))
         (self.folder / "site.toml").write_text(rig.site_file(self))
         self.process = subprocess.Popen(
             [sys.executable, *rig.program, "serve", "--site", str(self.folder / "site.toml")],
@@ -73,7 +80,7 @@
             text=True,
             env={**os.environ, "LB_CONFIG": str(self.folder / "config.json")},
         )
-        self.begun_ms = rig.record.add(self.name, "started", life=self.lives).ms
+        self.started_ms = rig.record.add(self.name, "started", life=self.runs).ms
         self.readers = [x for x in self.readers if x.is_alive()]
         self.readers.append(threading.Thread(target=self._read, args=(self.process,), daemon=True))
         self.readers[-1].start()
@@ -83,79 +90,90 @@
         assert process.stderr is not None
         for line in process.stderr:
             text = line.rstrip("\n")
-            if found := CHANGED.search(text):
-                self.view = int(found[6]), found[7], int(found[8])
+            if match := MEMBER_CHANGED.search(text):
+                self.view = int(match[6]), match[7], int(match[8])
                 record.add(
                     self.name,
                     "changed",
-                    name=found[2],
-                    to=found[3],
-                    incarnation=int(found[4]),
-                    reason=found[5],
-                    view=f"{found[6]}:{found[7]}",
-                    size=int(found[8]),
+                    name=match[2],
+                    to=match[3],
+                    incarnation=int(match[4]),
+                    reason=match[5],
+                    view=f"{match[6]}:{match[7]}",
+                    size=int(match[8]),
                 )
                 continue
-            if found := re.search(r": members: listening on (\S+):(\d+), known as", text):
-                self.rig.hub.attach(self.name, (found[1], int(found[2])))
-                self.ports["members"] = found[1], int(found[2])
-            elif found := re.search(r": (listening|admin|HLS) on (\S+?):(\d+)\b", text):
-                self.ports[found[1]] = found[2], int(found[3])
+            if match := re.search(r": members: listening on (\S+):(\d+), known as", text):
+                self.rig.hub.attach(self.name, (match[1], int(match[2])))
+                self.ports["members"] = match[1], int(match[2])
+            elif match := re.search(r": (listening|admin|HLS) on (\S+?):(\d+)\b", text):
+                self.ports[match[1]] = match[2], int(match[3])
             record.add(self.name, "log", line=text)
         code = process.wait()
         if process is self.process:
             self.rig.hub.detach(self.name)
         record.add(self.name, "ended", code=code)
 
-    def until_started(self) -> None:
-        self.rig.record.until(
-            lambda: "members" in self.ports and self.view is not None, STARTS_S, f"{self.name} listens"
+    def wait_started(self) -> None:
+        """Waits until the process listens for members and has logged a view."""
+        self.rig.record.wait_until(
+            lambda: "members" in self.ports and self.view is not None, START_TIMEOUT_S, f"{self.name} listens"
         )
 
     def signal(self, number: int) -> None:
+        """Sends a signal to the process and records it as a fault."""
         assert self.process is not None
         self.rig.record.add(self.name, "fault", signal=signal.Signals(number).name)
         self.process.send_signal(number)
 
     def kill(self) -> None:
+        """Kills the process and waits for its end."""
         self.signal(signal.SIGKILL)
-        self.until_ended()
+        self.wait_ended()
 
     def pause(self) -> None:
+        """Sends SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
+        """Sends SIGCONT."""
         self.signal(signal.SIGCONT)
 
     def terminate(self) -> int:
-        """SIGTERM, and its exit code."""
+        """Sends SIGTERM and returns the exit code."""
         self.signal(signal.SIGTERM)
-        return self.until_ended()
+        return self.wait_ended()
 
-    def until_ended(self) -> int:
+    def wait_ended(self) -> int:
+        """Waits until the process has ended and its whole log is recorded; returns the exit code."""
         assert self.process is not None
-        life = self.lives
-        code = self.process.wait(WAIT_S)
-        self.rig.record.until(
-            lambda: len(list(self.rig.record.of("ended", self.name))) >= life, WAIT_S, f"{self.name} ends"
+        run = self.runs
+        code = self.process.wait(TIMEOUT_S)
+        self.rig.record.wait_until(
+            lambda: len(list(self.rig.record.events_of("ended", self.name))) >= run,
+            TIMEOUT_S,
+            f"{self.name} ends",
         )
         return code
 
     def status(self) -> dict[str, Any]:
-        with socket.create_connection(self.ports["admin"], WAIT_S) as link, link.makefile("rb") as lines:
-            link.sendall(b"status\n")
-            told: dict[str, Any] = json.loads(lines.readline())
-        return told
+        """The status that the router reports at its admin address."""
+        with socket.create_connection(self.ports["admin"], TIMEOUT_S) as sock, sock.makefile("rb") as lines:
+            sock.sendall(b"status\n")
+            status: dict[str, Any] = json.loads(lines.readline())
+        return status
 
-    def said(self, text: str) -> list[Event]:
-        return [x for x in self.rig.record.of("log", self.name) if text in x.told["line"]]
+    def log_events(self, text: str) -> list[Event]:
+        """The recorded log lines that contain `text`, of all runs."""
+        return [x for x in self.rig.record.events_of("log", self.name) if text in x.details["line"]]
 
 
 class Rig:
-    """`count` routers in `sites` sites by turns.
+    """`count` routers, spread evenly over `sites` sites, and what they talk to.
 
-    `tables` are further tables of their site files, `program` is what Python is started with.  Boxes are
-    behind the hub too, unless `gated` says no.
+    `members` override keys of the [members] table and `site_tables` is further text of the site files, where
+    {folder} stands for a router's folder.  `program` are the arguments of Python that start the program.  The
+    connections to media servers pass the hub too unless `uses_server_proxies` is false.
     """
 
     def __init__(
@@ -163,50 +181,57 @@
         folder: Path,
         count: int,
         sites: int = 1,
-        pumps: Sequence[Pump] = (),
+        servers: Sequence[FakeMediaServer] = (),
         seed: int = 1,
         members: dict[str, Any] | None = None,
-        tables: str = "",
+        site_tables: str = "",
         program: Sequence[str] = ("-m", "cloverhinge"),
-        gated: bool = True,
+        uses_server_proxies: bool = True,
         **settings: Any,
     ) -> None:
-        if count > ROUTERS_MOST:
-            raise ValueError(f"{count} routers, {ROUTERS_MOST} at most")
-        self.folder, self.seed, self.pumps, self.program = folder, seed, list(pumps), list(program)
+        if count > MAX_ROUTERS:
+            raise ValueError(f"{count} routers requested, at most {MAX_ROUTERS} are supported")
+        self.folder, self.seed, self.servers, self.program = folder, seed, list(servers), list(program)
         self.settings: dict[str, Any] = {"fleetSize": count, **settings}
-        self.members, self.tables, self.gated = members or {}, tables, gated
-        place = os.getpid() + 1009 * next(_rigs)  # two rigs of one machine do not meet
-        self.net = f"127.{10 + place // 250 % 200}.{place % 250}"
+        self.members, self.site_tables, self.uses_server_proxies = (
+            members or {},
+            site_tables,
+            uses_server_proxies,
+        )
+        index = os.getpid() + 1009 * next(_rigs)  # rigs that run at the same time get different subnets
+        self.net = f"127.{10 + index // 250 % 200}.{index % 250}"
         self.record = Record()
         self.hub = Hub(self.record, seed)
-        self.gates: dict[tuple[str, str], tuple[str, int]] = {}  # a router's way to a box
-        for box in self.boxes:
-            box.record = self.record
-        self.busy: list[subprocess.Popen[bytes]] = []
+        self.server_proxies: dict[tuple[str, str], tuple[str, int]] = {}  # address by (router, server)
+        for server in self.recording_servers:
+            server.record = self.record
+        self.busy_loops: list[subprocess.Popen[bytes]] = []
         self.routers = [Router(self, n, f"s{n % sites}") for n in range(count)]
 
     def __getitem__(self, number: int) -> Router:
         return self.routers[number]
 
-    def rows(self, router: Router) -> list[dict[str, Any]]:
-        """The boxes as this router is told of them: at gates of the hub's."""
-        if not self.gated:
-            return [pump.row() for pump in self.pumps]
-        rows = []
-        for pump in self.pumps:
-            pair = router.name, pump.name
-            if pair not in self.gates:
-                host, port = pump.address.rsplit(":", 1)
-                self.gates[pair] = self.hub.gate(*pair, router.told[0], (host, int(port)))
-            rows.append({**pump.row(), "hostPort": "%s:%d" % self.gates[pair][:2]})
-        return rows
+    def server_list(self, router: Router) -> list[dict[str, Any]]:
+        """The entries of the media servers for one router, with the addresses of its proxies at the hub."""
+        if not self.uses_server_proxies:
+            return [server.list_entry() for server in self.servers]
+        entries = []
+        for server in self.servers:
+            pair = router.name, server.name
+            if pair not in self.server_proxies:
+                host, port = server.address.rsplit(":", 1)
+                self.server_proxies[pair] = self.hub.add_server_proxy(
+                    *pair, router.advertised[0], (host, int(port))
+                )
+            entries.append({**server.list_entry(), "hostPort": "%s:%d" % self.server_proxies[pair][:2]})
+        return entries
 
     def site_file(self, router: Router) -> str:
-        join = ", ".join('"%s:%d"' % x.told for x in self.routers[:3])
+        """The text of a router's site file."""
+        join = ", ".join('"%s:%d"' % x.advertised for x in self.routers[:3])
         own = {
             "listen": f"{router.host}:0",
-            "advertise": "%s:%d" % router.told,
+            "advertise": "%s:%d" % router.advertised,
             "site": router.site,
             "key": KEY,
             **self.members,
@@ -217,109 +242,122 @@
             "[members]",
             f"join = [{join}]",
             *(f"{key} = {json.dumps(value)}" for key, value in own.items()),
-            self.tables.replace("{folder}", str(router.folder)),
+            self.site_tables.replace("{folder}", str(router.folder)),
         ]
         return "\n".join(lines) + "\n"
 
     @property
-    def boxes(self) -> list[MediaBox]:
-        return [x for x in self.pumps if isinstance(x, MediaBox)]
+    def recording_servers(self) -> list[RecordingMediaServer]:
+        """The media servers that record what they are asked."""
+        return [x for x in self.servers if isinstance(x, RecordingMediaServer)]
 
-    def poll(self, what: str, holds: Callable[[], bool], seconds: float, pause_s: float = 0.05) -> None:
-        """For what only a router's status tells: asked again and again."""
+    def poll(
+        self, description: str, condition: Callable[[], bool], seconds: float, pause_s: float = 0.05
+    ) -> None:
+        """Polls a condition that no recorded event shows, such as a value in a router's status.
+
+        Raises AssertionError with the end of the record after `seconds`.
+        """
         deadline = time.monotonic() + seconds
-        while not holds():
+        while not condition():
             if time.monotonic() > deadline:
-                raise AssertionError(f"{what}: not within {seconds:.0f} s\n{self.record.tail()}")
+                raise AssertionError(
+                    f"{description}: not reached within {seconds:.0f} s\n{self.record.tail()}"
+                )
             self.record.pause(pause_s)
 
-    def tell(self, states: dict[str, str]) -> None:
-        """A change of boxes, by name, to all routers: to each with its own gates."""
+    def publish(self, states: dict[str, str]) -> None:
+        """Publishes lifecycle states, by the name of the media server, to all routers."""
         for router in self.routers:
-            router.log.tell(
+            router.change_log.publish(
                 [
                     {**row, "lifecycle": states[row["instanceId"]]}
-                    for row in self.rows(router)
+                    for row in self.server_list(router)
                     if row["instanceId"] in states
                 ]
             )
 
-    # Groups
+    # Groups of routers
 
     def names(self, routers: Sequence[Router]) -> list[str]:
+        """The names of these routers."""
         return [x.name for x in routers]
 
     def agreed(self, routers: Sequence[Router]) -> bool:
+        """Whether all of these last logged the same view with as many members as they are."""
         views = {x.view for x in routers}
         view = next(iter(views))
         return len(views) == 1 and view is not None and view[2] == len(routers)
 
-    def until_agreed(self, routers: Sequence[Router] | None = None, seconds: float = WAIT_S) -> float:
-        """How long in ms until these, and no others, are one view at all of them."""
-        those = [x for x in self.routers if x.running] if routers is None else routers
+    def wait_agreed(self, routers: Sequence[Router] | None = None, seconds: float = TIMEOUT_S) -> float:
+        """Waits until `agreed` for these, by default all that run; returns the wait in ms."""
+        expected = [x for x in self.routers if x.running] if routers is None else routers
         try:
-            return self.record.until(lambda: self.agreed(those), seconds, "one view")
+            return self.record.wait_until(lambda: self.agreed(expected), seconds, "one view")
         except AssertionError as error:
-            raise AssertionError(f"{error}\n{[(x.name, x.view) for x in those]}") from None
+            raise AssertionError(f"{error}\n{[(x.name, x.view) for x in expected]}") from None
 
     def start(self) -> None:
+        """Starts all routers and waits until they agree on one view."""
         for router in self.routers:
             router.start()
         for router in self.routers:
-            router.until_started()
-        self.until_agreed(seconds=STARTS_S)
+            router.wait_started()
+        self.wait_agreed(seconds=START_TIMEOUT_S)
 
-    def starve(self, processors: int) -> None:
-        """Busy loops that share the cores with the routers, until `relieve`."""
+    def start_busy_loops(self, processors: int) -> None:
+        """Starts processes that compete with the routers for CPU time until `stop_busy_loops`."""
         for _ in range(processors):
-            self.busy.append(subprocess.Popen([sys.executable, "-c", "while True: pass"]))
+            self.busy_loops.append(subprocess.Popen([sys.executable, "-c", "while True: pass"]))
         self.record.add("rig", "fault", busy=processors)
 
     def share_core(self, router: Router) -> None:
-        """One core for this router and a busy loop, until `relieve`."""
+        """Pins this router and a busy loop to one core until `stop_busy_loops`."""
         assert router.process is not None
         cores = sorted(os.sched_getaffinity(0))
         core = {cores[router.number % len(cores)]}
-        self.starve(1)
-        for process in (router.process.pid, self.busy[-1].pid):
+        self.start_busy_loops(1)
+        for process in (router.process.pid, self.busy_loops[-1].pid):
             os.sched_setaffinity(process, core)
 
-    def of_site(self, site: str) -> list[str]:
-        """Names, for faults by site: `hub.cut(of_site("s0"), of_site("s1"))`."""
+    def names_of_site(self, site: str) -> list[str]:
+        """The names of a site's routers, as `Hub.cut` takes them."""
         return [x.name for x in self.routers if x.site == site]
 
-    def relieve(self) -> None:
-        for process in self.busy:
+    def stop_busy_loops(self) -> None:
+        """Ends all busy loops and lets the routers use all cores again."""
+        for process in self.busy_loops:
             process.kill()
             process.wait()
-        self.busy.clear()
+        self.busy_loops.clear()
         for router in self.routers:
             if router.process is not None and router.running:
                 os.sched_setaffinity(router.process.pid, os.sched_getaffinity(0))
         self.record.add("rig", "relieved")
 
     def stop(self) -> None:
-        self.relieve()
+        """Kills all processes and closes all listeners."""
+        self.stop_busy_loops()
         for router in self.routers:
             if router.process is not None:
                 with suppress(ProcessLookupError):
                     router.process.kill()
                 router.process.wait()
-            for reader in router.readers:  # they tell the hub of the end, so it has to be there still
-                reader.join(WAIT_S)
-        for listener in (*self.pumps, *(x.log for x in self.routers)):
+            for reader in router.readers:  # they call the hub when a process ends, so it stops after them
+                reader.join(TIMEOUT_S)
+        for listener in (*self.servers, *(x.change_log for x in self.routers)):
             listener.stop()
         self.hub.stop()
 
 
 @contextmanager
-def rig(folder: Path, count: int, **more: Any) -> Iterator[Rig]:
-    """A started rig, ended in any case; no router may have raised what nobody caught."""
+def running_rig(folder: Path, count: int, **more: Any) -> Iterator[Rig]:
+    """Runs a started rig and stops it at the end; no router may have logged a traceback."""
     made = Rig(folder, count, **more)
     try:
         made.start()
         yield made
-        broken = [x for x in made.record.of("log") if "Traceback" in x.told["line"]]
-        assert not broken, made.record.tail(200)
+        tracebacks = [x for x in made.record.events_of("log") if "Traceback" in x.details["line"]]
+        assert not tracebacks, made.record.tail(200)
     finally:
         made.stop()
