--- a/cloverhinge/decision/state.py
+++ b/cloverhinge/decision/state.py
@@ -57,7 +57,7 @@
         """Books what has been there before this instance knew of it.
 
         A load reported before the booking includes it already, and so does one that is reported later and
-        describes a moment after the first such booking.  The history is not changed, as hundreds may come
+        describes a moment after the first such booking.  The history is not changed, as hundreds may arrive
         together.
         """
         self.booked += amount
