--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -98,7 +98,7 @@
             Path(name),
             ROUTERS,
             servers=servers,
-            tables=site_tables(servers, stores),
+            site_tables=site_tables(servers, stores),
             program=OPTIMIZED,
             seed=seed,
         ) as made,
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -266,7 +266,7 @@
                     running_rig(
                         Path(name),
                         5,
-                        server_groups=servers,
+                        servers=servers,
                         uses_server_proxies=False,
                         fleetSize=1,
                         program=OPTIMIZED,
