--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Only names the two commands of the README; what they do is in the scripts that they call.
+# The two commands of the README; the scripts that they call do the work.
 
 .PHONY: demo test
 
