--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -73,7 +73,7 @@
 
 def test_fake_clients_get_no_more_than_one_client_s_share() -> None:
     """A flood with invented names and addresses shares the share of `others`; memory stays bounded."""
-    real, fakes = crowd("maple", 8.0), crowd("others", 300.0, peers=250, returning=0.0)
+    real, fakes = crowd("maple", 8.0), crowd("others", 300.0, addresses=250, return_share=0.0)
     simulation, gateway = world(real, fakes)
     simulation.run(15_000.0)  # the fakes take all places at first; no session is cut for later requests
     served = real.tally.served
@@ -124,7 +124,7 @@
 
 
 def test_checks_go_before_practice_without_starving_it() -> None:
-    checks, practice = crowd("maple", 25.0, checks=1.0), crowd("maple", 5.0)
+    checks, practice = crowd("maple", 25.0, check_share=1.0), crowd("maple", 5.0)
     simulation, _ = world(checks, practice)
     simulation.run(60_000.0)
     assert checks.tally.served > 2 * practice.tally.served > 40
